--- a/examples/admission_cost.rs
+++ b/examples/admission_cost.rs
@@ -1,4 +1,4 @@
-//! Prints what one offer and one finish of the admission cost, in nanoseconds.
+//! Benchmarks admission control: prints the time of one `offer` and one `finish`, in nanoseconds.
 //!
 //! `cargo run --release --example admission_cost`
 
@@ -19,8 +19,8 @@
   "policies": [{"name": "p", "retry": {"kind": "none"}, "choice": "least_loaded",
     "limit": {"kind": "gradient", "tolerance": 2.0, "smoothing": 0.2}}]}"#;
 
-/// Offers calls at `times` the capacity and finishes the oldest at the pace of the target.
-fn measure(times: u64) {
+/// Offers calls at `load` times the capacity and finishes the oldest ones at the target's rate.
+fn measure(load: u64) {
     let rules: Rules = serde_json::from_str(RULES).expect("the rules are well formed");
     let mut admission = Admission::new(0, &rules, "s");
     admission.set_target(0, TargetState::Serving, SLOTS, 850);
@@ -28,11 +28,11 @@
     let mut out: Vec<Decision> = Vec::with_capacity(64);
     let hold_us = 20_000;
     let gap_us = hold_us / u64::from(SLOTS);
-    let mut ran = 0_u64;
+    let mut run_count = 0_u64;
     let mut now_us = 0;
     let started = Instant::now();
     for number in 0..CALLS {
-        if number % times == 0 {
+        if number % load == 0 {
             now_us += gap_us;
         }
         while let Some((attempt, since_us)) = running.front().copied() {
@@ -53,18 +53,18 @@
             let Decision::Run { attempt } = decision else {
                 continue;
             };
-            ran += 1;
+            run_count += 1;
             running.push_back((attempt, now_us));
         }
     }
     let each_ns = started.elapsed().as_nanos() as f64 / CALLS as f64;
     println!(
-        "{times:2}x: {each_ns:.0} ns for an offer with its share of finishes ({ran} of {CALLS} ran)"
+        "{load:2}x: {each_ns:.0} ns for an offer with its share of finishes ({run_count} of {CALLS} ran)"
     );
 }
 
 fn main() {
-    for times in [1, 2, 10] {
-        measure(times);
+    for load in [1, 2, 10] {
+        measure(load);
     }
 }
--- a/src/admission/downstream.rs
+++ b/src/admission/downstream.rs
@@ -1,68 +1,73 @@
-//! Floors of the services that the target's own calls need.
+//! Shedding floors of the services that the target calls in turn.
 
 use std::collections::HashMap;
 
 use crate::call::{ArmId, ClassRank, Level};
 
-/// How long a floor is taken as told, in microseconds.
-const FRESH_US: u64 = 300_000;
-/// When a floor that nobody repeats is forgotten, in microseconds after it was told.
-const FORGOTTEN_US: u64 = 1_000_000;
+/// How long a reported floor applies in full, in microseconds.
+const FULL_US: u64 = 300_000;
+/// The age at which a floor that is not reported again expires, in microseconds.
+const EXPIRY_US: u64 = 1_000_000;
 
-/// One service's floor as it was last told.
+/// The last reported floor of one service.
 #[derive(Clone, Debug)]
-struct Told {
-    /// The service.
+struct ReportedFloor {
     service: String,
-    /// Its floor.
     floor: Level,
-    /// When it was told, in microseconds.
+    /// When it was reported, in microseconds.
     at_us: u64,
 }
 
-/// What is known about floors further down, for each arm and class.
+/// Reported floors of downstream services, by arm and class.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Downstream {
-    /// Floors by the arm and class of the calls that need the service.
-    told: HashMap<(ArmId, ClassRank), Vec<Told>>,
+    /// Floors by the arm and class of the calls that use the service.
+    reports: HashMap<(ArmId, ClassRank), Vec<ReportedFloor>>,
 }
 
 impl Downstream {
-    /// Takes in a floor that came with an answer.
-    pub fn note(&mut self, now_us: u64, arm: ArmId, class: ClassRank, service: &str, floor: Level) {
-        let told = self.told.entry((arm, class)).or_default();
-        told.retain(|entry| now_us < entry.at_us.saturating_add(FORGOTTEN_US));
-        for entry in told.iter_mut() {
-            if entry.service == service {
-                entry.floor = floor;
-                entry.at_us = now_us;
+    /// Records a floor that came with an answer.
+    pub fn record(
+        &mut self,
+        now_us: u64,
+        arm: ArmId,
+        class: ClassRank,
+        service: &str,
+        floor: Level,
+    ) {
+        let reports = self.reports.entry((arm, class)).or_default();
+        reports.retain(|report| now_us < report.at_us.saturating_add(EXPIRY_US));
+        for report in reports.iter_mut() {
+            if report.service == service {
+                report.floor = floor;
+                report.at_us = now_us;
                 return;
             }
         }
-        told.push(Told { service: service.to_owned(), floor, at_us: now_us });
+        reports.push(ReportedFloor { service: service.to_owned(), floor, at_us: now_us });
     }
 
-    /// The highest floor that calls of this arm and class meet further down.
+    /// The highest floor that calls of this arm and class meet downstream.
     pub fn floor(&self, now_us: u64, arm: ArmId, class: ClassRank) -> Level {
-        let Some(told) = self.told.get(&(arm, class)) else {
+        let Some(reports) = self.reports.get(&(arm, class)) else {
             return Level::LOWEST;
         };
         let mut highest = Level::LOWEST;
-        for entry in told {
-            highest = highest.max(faded(entry, now_us));
+        for report in reports {
+            highest = highest.max(decayed(report, now_us));
         }
         highest
     }
 }
 
-/// The floor less what it has lost by not being repeated.
+/// The floor, lowered for the time since it was last reported.
 ///
-/// It sinks in a straight line instead of ending at once: a class that is refused altogether sends
-/// nothing down that could refresh its floor, and must not come back in one burst.
-fn faded(told: &Told, now_us: u64) -> Level {
-    let age_us = now_us.saturating_sub(told.at_us);
-    let past_us = age_us.saturating_sub(FRESH_US);
-    let left_us = (FORGOTTEN_US - FRESH_US).saturating_sub(past_us);
-    let level = u64::from(told.floor.0) * left_us / (FORGOTTEN_US - FRESH_US);
+/// It decays linearly instead of ending at once: a class that is shed completely sends nothing
+/// downstream that could refresh its floor, and must not return in one burst.
+fn decayed(report: &ReportedFloor, now_us: u64) -> Level {
+    let age_us = now_us.saturating_sub(report.at_us);
+    let decaying_us = age_us.saturating_sub(FULL_US);
+    let left_us = (EXPIRY_US - FULL_US).saturating_sub(decaying_us);
+    let level = u64::from(report.floor.0) * left_us / (EXPIRY_US - FULL_US);
     Level(level as u16)
 }
--- a/src/admission/event.rs
+++ b/src/admission/event.rs
@@ -1,24 +1,24 @@
-//! What goes into the admission and what comes out of it.
+//! Inputs and outputs of admission control.
 
 use crate::call::{ArmId, AttemptId, Level, Refusal};
 
-/// A call that asks to be run by the target.
+/// A call that is offered to the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The attempt.
     pub attempt: AttemptId,
     /// The policy arm of its root.
     pub arm: ArmId,
-    /// Where it stands in the order of shedding.
+    /// Its priority: lower levels are shed first.
     pub level: Level,
-    /// The moment after which nobody has a use for the answer, in microseconds.
+    /// The deadline, in microseconds, after which the answer is of no use.
     pub deadline_us: u64,
 }
 
-/// What is to be done with an attempt.
+/// The decision on an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// The target shall run it now. The slot is taken until `finish` is called.
+    /// The target runs it now. The slot is in use until `finish` is called.
     Run {
         /// The attempt.
         attempt: AttemptId,
@@ -27,13 +27,13 @@
     Refuse {
         /// The attempt.
         attempt: AttemptId,
-        /// Why, and when to come back.
+        /// The reason and the Retry-After.
         refusal: Refusal,
     },
 }
 
 impl Decision {
-    /// The attempt that was decided on.
+    /// The attempt that the decision is about.
     pub fn attempt(&self) -> AttemptId {
         match self {
             Self::Run { attempt } | Self::Refuse { attempt, .. } => *attempt,
@@ -46,43 +46,43 @@
 pub enum End {
     /// The target answered.
     Answered {
-        /// From the start of the run to the end of the answer, in microseconds.
+        /// From the start of the call to the end of the answer, in microseconds.
         latency_us: u64,
-        /// Whether the answer is one of a working target, rather than a server error.
+        /// False for a server error.
         healthy: bool,
     },
-    /// The target broke off, or did not answer in time.
+    /// The target broke off the answer, or did not answer in time.
     Failed {
-        /// From the start of the run to the failure, in microseconds.
+        /// From the start of the call to the failure, in microseconds.
         latency_us: u64,
     },
-    /// The run was cancelled.
+    /// The call was cancelled.
     Cancelled,
 }
 
-/// What the target beside the node can do at present.
+/// The state of the node's own target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetState {
-    /// It has come up and is given less than its share at first.
+    /// It has just started and gets less than its full limit at first.
     Warming {
-        /// When it came up, in microseconds.
+        /// When it started, in microseconds.
         since_us: u64,
     },
-    /// It takes calls.
+    /// It accepts calls.
     Serving,
-    /// It finishes what it has and takes nothing new.
+    /// It completes the calls it has and accepts no new ones.
     Draining,
-    /// It is not known, or gone.
+    /// It is not announced, or no longer there.
     Down,
 }
 
-/// What a cancellation found.
+/// The result of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cancelled {
-    /// The attempt was waiting; it is refused and never runs.
+    /// The attempt was queued; it is refused and never runs.
     WasQueued,
     /// The attempt is running and keeps its slot until `finish` is called.
     IsRunning,
-    /// The attempt is neither waiting nor running.
+    /// The attempt is neither queued nor running.
     Unknown,
 }
--- a/src/admission/floor.rs
+++ b/src/admission/floor.rs
@@ -1,81 +1,81 @@
-//! The level below which calls are refused before they wait.
+//! The shedding floor: the level below which calls are refused before they are queued.
 //!
 //! After DAGOR (Zhou et al., SoCC 2018): arrivals are counted by level, and when a window shows
-//! overload the floor goes to where the calls above it fit the capacity. In windows without overload
-//! it goes down again, by steps that double, so that it is gone soon after its cause.
+//! overload the floor rises to where the calls at and above it fit the capacity. In windows without
+//! overload it falls again, in steps that double, so that it is gone soon after the overload.
 
 use super::histogram::Histogram;
 use crate::call::Level;
 
-/// The part of arrivals that may be pushed out in a window without being called overload.
-const PUSHED_PART: f64 = 0.02;
-/// The part of arrivals that, when pushed out, is overload whatever was done before.
-const FLOODED_PART: f64 = 0.2;
-/// The part of the calls admitted so far that may still be admitted after a window with overload.
-const SHRINK: f64 = 0.98;
-/// The load that is admitted, as a share of the capacity, where arrivals below the floor are seen.
-const FILL: f64 = 1.03;
+/// A window shows overload when a larger share of its admitted calls than this is evicted.
+const EVICTED_SHARE_MAX: f64 = 0.02;
+/// A window with a larger share of evicted calls than this shows overload even if the floor was
+/// raised just before it.
+const SEVERE_EVICTED_SHARE: f64 = 0.2;
+/// The floor is raised until no more than this share of the calls admitted so far is admitted.
+const ADMITTED_SHRINK: f64 = 0.98;
+/// The target load, as a share of the capacity, when the arrivals below the floor are known.
+const TARGET_LOAD: f64 = 1.03;
 
 /// The admitted load, as a share of the capacity, below which the target counts as idle.
-const IDLE: f64 = 0.85;
+const IDLE_LOAD: f64 = 0.85;
 /// How many standard deviations of the arrivals the admitted load must be below that share.
-const IDLE_CHANCE: f64 = 1.5;
-/// The factor by which steps downwards grow.
-const GROWTH: usize = 2;
-/// The factor by which they grow while the target is idle.
-const IDLE_GROWTH: usize = 4;
+const IDLE_DEVIATIONS: f64 = 1.5;
+/// The factor by which downward steps grow.
+const STEP_GROWTH: usize = 2;
+/// The factor by which downward steps grow while the target is idle.
+const IDLE_STEP_GROWTH: usize = 4;
 
 /// What the floor is decided from, besides the arrivals.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Surroundings {
-    /// Calls the target can end, for each microsecond.
+pub(super) struct WindowInput {
+    /// The calls that the target can complete per microsecond.
     pub capacity_per_us: f64,
-    /// Whether all slots were taken at some time in the window.
+    /// Whether all slots were in use at some time in the window.
     pub was_full: bool,
-    /// The waiting time that counts as overload, in microseconds.
+    /// The queueing delay that counts as overload, in microseconds.
     pub delay_max_us: u64,
 }
 
 /// The floor of one arm.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Floor {
-    /// Calls below are refused.
+    /// Calls below this level are shed.
     level: Level,
-    /// Arrivals by level.
     arrivals: Histogram,
-    /// By how many levels the floor goes down after the next window without overload.
+    /// How many levels the floor falls after the next window without overload.
     step: usize,
-    /// Calls at or above the floor that came in this window.
+    /// Arrivals at or above the floor in this window.
     admitted: u32,
-    /// Calls that were pushed out or expired while waiting, in this window.
-    pushed: u32,
-    /// The sum of the waiting times of calls that were started, in microseconds, in this window.
+    /// Calls that were evicted from the queue or expired in it, in this window.
+    evicted: u32,
+    /// The sum of the queueing delays of calls that were started in this window, in microseconds.
     waited_us: u64,
-    /// How many calls were started, in this window.
+    /// How many calls were started in this window.
     started: u32,
     /// Whether the floor was raised at the end of the last window.
     was_raised: bool,
-    /// The highest level that was pushed out or waited too long in this window.
-    hurt: Option<Level>,
+    /// The highest level that was evicted, expired or delayed too long in this window.
+    highest_overloaded: Option<Level>,
 }
 
 impl Floor {
-    /// Calls below this level are refused.
+    /// Calls below this level are shed.
     pub fn level(&self) -> Level {
         self.level
     }
 
-    /// Whether anything is refused.
+    /// Whether any call is shed.
     pub fn is_raised(&self) -> bool {
         self.level > Level::LOWEST
     }
 
-    /// Gives the floor up, for a policy without one.
+    /// Removes the floor, for a policy that has none.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// Counts a call that came, and returns whether it is admitted.
+    /// Counts an arrival, and returns whether it is admitted.
     pub fn admits(&mut self, level: Level) -> bool {
         self.arrivals.add(level);
         let admitted = level >= self.level;
@@ -83,25 +83,25 @@
         admitted
     }
 
-    /// Counts a call that did not get its turn.
-    pub fn note_pushed(&mut self, level: Level) {
-        self.pushed += 1;
-        self.hurt = self.hurt.max(Some(level));
+    /// Counts a call that was evicted from the queue or expired in it.
+    pub fn record_evicted(&mut self, level: Level) {
+        self.evicted += 1;
+        self.highest_overloaded = self.highest_overloaded.max(Some(level));
     }
 
-    /// Counts a call that was started after waiting.
-    pub fn note_started(&mut self, level: Level, waited_us: u64, delay_max_us: u64) {
+    /// Counts a call that was started after `waited_us` in the queue.
+    pub fn record_started(&mut self, level: Level, waited_us: u64, delay_max_us: u64) {
         self.started += 1;
         self.waited_us += waited_us;
         if waited_us > delay_max_us {
-            self.hurt = self.hurt.max(Some(level));
+            self.highest_overloaded = self.highest_overloaded.max(Some(level));
         }
     }
 
-    /// How many times the arrivals are of what fits.
+    /// The arrivals as a multiple of the capacity.
     pub fn load(&self, capacity_per_us: f64) -> f64 {
-        let fits = capacity_per_us * self.arrivals.time_us();
-        if fits > 0.0 { self.arrivals.total() / fits } else { 1.0 }
+        let capacity = capacity_per_us * self.arrivals.time_us();
+        if capacity > 0.0 { self.arrivals.total() / capacity } else { 1.0 }
     }
 
     /// How many windows without overload it takes until calls of this level are admitted.
@@ -114,56 +114,61 @@
         usize::BITS - steps.leading_zeros()
     }
 
-    /// Ends a window of `window_us` and moves the floor.
-    pub fn close_window(&mut self, window_us: u64, around: &Surroundings) {
+    /// Closes a window of `window_us` and adjusts the floor.
+    pub fn close_window(&mut self, window_us: u64, input: &WindowInput) {
         self.arrivals.close_window(window_us);
         let admitted = f64::from(std::mem::take(&mut self.admitted));
         let waited_us = self.waited_us / u64::from(self.started.max(1));
-        let flooded = f64::from(self.pushed) > FLOODED_PART * admitted;
-        let pushed = f64::from(self.pushed) > 1.0 + PUSHED_PART * admitted;
-        if std::mem::take(&mut self.was_raised) && !flooded {
-            // What waited in this window came largely before the floor was raised.
-        } else if pushed || waited_us > around.delay_max_us {
-            self.raise(around);
+        let is_severe = f64::from(self.evicted) > SEVERE_EVICTED_SHARE * admitted;
+        let is_overloaded = f64::from(self.evicted) > 1.0 + EVICTED_SHARE_MAX * admitted;
+        if std::mem::take(&mut self.was_raised) && !is_severe {
+            // Most calls that waited in this window arrived before the floor was raised.
+        } else if is_overloaded || waited_us > input.delay_max_us {
+            self.raise(input);
             self.was_raised = true;
         } else {
-            let room = around.capacity_per_us * window_us as f64;
-            self.lower(around, admitted < IDLE * room - IDLE_CHANCE * room.sqrt());
+            let window_capacity = input.capacity_per_us * window_us as f64;
+            self.lower(
+                input,
+                admitted < IDLE_LOAD * window_capacity - IDLE_DEVIATIONS * window_capacity.sqrt(),
+            );
         }
-        self.pushed = 0;
+        self.evicted = 0;
         self.waited_us = 0;
         self.started = 0;
-        self.hurt = None;
+        self.highest_overloaded = None;
     }
 
-    /// Moves the floor up to where the calls above it fit the capacity.
-    fn raise(&mut self, around: &Surroundings) {
+    /// Raises the floor to where the calls at and above it fit the capacity.
+    fn raise(&mut self, input: &WindowInput) {
         self.step = 1;
-        let present = self.arrivals.index(self.level);
-        let fits = around.capacity_per_us * self.arrivals.time_us() * FILL;
-        let admitted = self.arrivals.total_from(present);
-        let index = self.arrivals.lowest_within(fits.min(admitted * SHRINK));
-        // A level that had its turn in time is not to be refused, whatever the histogram says.
-        let above_hurt = self.hurt.map_or(0, |level| self.arrivals.index(level) + 1);
-        let index = index.min(above_hurt).min(self.arrivals.highest()).max(present);
+        let current = self.arrivals.index(self.level);
+        let capacity = input.capacity_per_us * self.arrivals.time_us() * TARGET_LOAD;
+        let admitted = self.arrivals.total_from(current);
+        let index = self.arrivals.lowest_index_within(capacity.min(admitted * ADMITTED_SHRINK));
+        // A level whose calls were all started in time must not be shed, whatever the histogram
+        // says.
+        let above_overloaded =
+            self.highest_overloaded.map_or(0, |level| self.arrivals.index(level) + 1);
+        let index = index.min(above_overloaded).min(self.arrivals.highest()).max(current);
         self.level = self.arrivals.level(index);
     }
 
-    /// Moves the floor down a step.
-    fn lower(&mut self, around: &Surroundings, idle: bool) {
+    /// Lowers the floor by a step.
+    fn lower(&mut self, input: &WindowInput, idle: bool) {
         if !self.is_raised() {
             return;
         }
-        let present = self.arrivals.index(self.level);
-        let mut index = present.saturating_sub(self.step.max(1));
-        if around.was_full {
-            // As far as arrivals below the floor are seen, no more are let in than fit.
-            let fits = around.capacity_per_us * self.arrivals.time_us() * FILL;
-            index = index.max(self.arrivals.lowest_within(fits)).min(present - 1);
+        let current = self.arrivals.index(self.level);
+        let mut index = current.saturating_sub(self.step.max(1));
+        if input.was_full {
+            // Admits no more of the known arrivals below the floor than fit the capacity.
+            let capacity = input.capacity_per_us * self.arrivals.time_us() * TARGET_LOAD;
+            index = index.max(self.arrivals.lowest_index_within(capacity)).min(current - 1);
         }
-        let moved = present - index;
-        let growth = if idle { IDLE_GROWTH } else { GROWTH };
-        self.step = (moved * growth).max(1);
+        let fallen = current - index;
+        let growth = if idle { IDLE_STEP_GROWTH } else { STEP_GROWTH };
+        self.step = (fallen * growth).max(1);
         self.level = self.arrivals.level(index);
     }
 }
--- a/src/admission/histogram.rs
+++ b/src/admission/histogram.rs
@@ -1,40 +1,40 @@
-//! Arrivals counted by level.
+//! Decaying counts of arrivals by level.
 
 use crate::call::Level;
 
-/// Levels in a class.
-const LEVELS: usize = 256;
-/// How much of the past stays when a window is added.
-const KEEP: f64 = 0.8;
-/// A window with this many times the arrivals of the past, or fewer by the same factor, replaces it.
-const CHANGE: f64 = 1.5;
-/// Arrivals a window needs before it can replace the past.
-const CHANGE_ARRIVALS: u32 = 20;
+/// The number of levels in a class.
+const LEVELS_PER_CLASS: usize = 256;
+/// The weight that earlier windows keep when a window is added.
+const PAST_WEIGHT: f64 = 0.8;
+/// A window whose arrivals differ from the expected ones by more than this factor replaces the
+/// past.
+const CHANGE_FACTOR: f64 = 1.5;
+/// A window replaces the past only if it has, or was expected to have, more arrivals than this.
+const CHANGE_ARRIVALS_MIN: u32 = 20;
 
-/// The levels of one class.
+/// The arrivals of one class.
 #[derive(Clone, Debug)]
-struct Band {
-    /// The class.
+struct ClassCounts {
     rank: u8,
-    /// Arrivals in the present window.
-    present: [u32; LEVELS],
-    /// Arrivals of earlier windows, weighted.
-    past: [f32; LEVELS],
+    /// Arrivals in the current window.
+    current: [u32; LEVELS_PER_CLASS],
+    /// Arrivals in earlier windows, weighted.
+    past: [f32; LEVELS_PER_CLASS],
 }
 
-/// Arrivals by level, the latest windows counting most.
+/// Arrivals by level, with the latest windows weighted most.
 ///
-/// Levels of the classes that were seen are numbered without gaps, from the lowest: the index. One
+/// The levels of the classes seen so far are numbered without gaps, from the lowest: the index. One
 /// more than the last index stands for "above all levels".
 #[derive(Clone, Debug, Default)]
 pub(super) struct Histogram {
-    /// The classes, from the lowest rank to the highest.
-    bands: Vec<Band>,
-    /// Arrivals in the present window.
+    /// The classes seen so far, from the lowest rank to the highest.
+    classes: Vec<ClassCounts>,
+    /// Arrivals in the current window.
     arrivals: u32,
-    /// The time that the past stands for, in microseconds, weighted.
+    /// The weighted length of the past windows, in microseconds.
     time_us: f64,
-    /// All arrivals of the past, weighted.
+    /// All arrivals in the past windows, weighted.
     total: f64,
 }
 
@@ -42,99 +42,104 @@
     /// Counts an arrival.
     pub fn add(&mut self, level: Level) {
         let rank = level.class().0;
-        let band = match self.bands.binary_search_by_key(&rank, |band| band.rank) {
-            Ok(band) => band,
-            Err(band) => {
-                let new = Band { rank, present: [0; LEVELS], past: [0.0; LEVELS] };
-                self.bands.insert(band, new);
-                band
+        let class = match self.classes.binary_search_by_key(&rank, |class| class.rank) {
+            Ok(class) => class,
+            Err(class) => {
+                let new = ClassCounts {
+                    rank,
+                    current: [0; LEVELS_PER_CLASS],
+                    past: [0.0; LEVELS_PER_CLASS],
+                };
+                self.classes.insert(class, new);
+                class
             }
         };
-        self.bands[band].present[usize::from(level.0 & 0xff)] += 1;
+        self.classes[class].current[usize::from(level.0 & 0xff)] += 1;
         self.arrivals += 1;
     }
 
-    /// Moves the present window into the past, and returns its arrivals.
+    /// Adds the current window to the past, and returns its arrivals.
     pub fn close_window(&mut self, window_us: u64) -> u32 {
-        let keep = if self.has_changed(window_us) { 0.0 } else { KEEP };
-        self.time_us = self.time_us * keep + window_us as f64;
-        for band in &mut self.bands {
-            for (past, present) in band.past.iter_mut().zip(&mut band.present) {
-                *past = *past * keep as f32 + *present as f32;
-                *present = 0;
+        let past_weight = if self.has_changed(window_us) { 0.0 } else { PAST_WEIGHT };
+        self.time_us = self.time_us * past_weight + window_us as f64;
+        for class in &mut self.classes {
+            for (past, current) in class.past.iter_mut().zip(&mut class.current) {
+                *past = *past * past_weight as f32 + *current as f32;
+                *current = 0;
             }
         }
         self.total = self.total_from(0);
         std::mem::take(&mut self.arrivals)
     }
 
-    /// All arrivals that the past stands for.
+    /// The weighted number of past arrivals.
     pub fn total(&self) -> f64 {
         self.total
     }
 
-    /// The time that the counts stand for, in microseconds.
+    /// The weighted time over which they were counted, in microseconds.
     pub fn time_us(&self) -> f64 {
         self.time_us
     }
 
-    /// The index of a level; a level between the classes that were seen has the next one's.
+    /// The index of a level. A level of a class that was not seen has the index at which the next
+    /// class begins.
     pub fn index(&self, level: Level) -> usize {
         let rank = level.class().0;
-        match self.bands.binary_search_by_key(&rank, |band| band.rank) {
-            Ok(band) => band * LEVELS + usize::from(level.0 & 0xff),
-            Err(band) => band * LEVELS,
+        match self.classes.binary_search_by_key(&rank, |class| class.rank) {
+            Ok(class) => class * LEVELS_PER_CLASS + usize::from(level.0 & 0xff),
+            Err(class) => class * LEVELS_PER_CLASS,
         }
     }
 
-    /// The highest index.
     pub fn highest(&self) -> usize {
-        (self.bands.len() * LEVELS).saturating_sub(1)
+        (self.classes.len() * LEVELS_PER_CLASS).saturating_sub(1)
     }
 
-    /// The level of an index; index 0 is the lowest of all.
+    /// The level of an index; index 0 gives the lowest level of all.
     pub fn level(&self, index: usize) -> Level {
         if index == 0 {
             return Level::LOWEST;
         }
-        match self.bands.get(index / LEVELS) {
-            Some(band) => Level(u16::from(band.rank) << 8 | (index % LEVELS) as u16),
+        match self.classes.get(index / LEVELS_PER_CLASS) {
+            Some(class) => Level(u16::from(class.rank) << 8 | (index % LEVELS_PER_CLASS) as u16),
             None => Level::HIGHEST,
         }
     }
 
-    /// Arrivals at an index and above.
+    /// Past arrivals at an index and above.
     pub fn total_from(&self, index: usize) -> f64 {
         let mut total = 0.0;
-        for (number, band) in self.bands.iter().enumerate() {
-            let skip = index.saturating_sub(number * LEVELS).min(LEVELS);
-            total += f64::from(band.past[skip..].iter().sum::<f32>());
+        for (number, class) in self.classes.iter().enumerate() {
+            let skip = index.saturating_sub(number * LEVELS_PER_CLASS).min(LEVELS_PER_CLASS);
+            total += f64::from(class.past[skip..].iter().sum::<f32>());
         }
         total
     }
 
-    /// The lowest index from which the arrivals upwards are no more than `room`.
-    pub fn lowest_within(&self, room: f64) -> usize {
+    /// The lowest index at and above which there are no more than `max_arrivals` past arrivals.
+    pub fn lowest_index_within(&self, max_arrivals: f64) -> usize {
         let mut total = 0.0;
-        for (number, band) in self.bands.iter().enumerate().rev() {
-            for (level, arrivals) in band.past.iter().enumerate().rev() {
+        for (number, class) in self.classes.iter().enumerate().rev() {
+            for (level, arrivals) in class.past.iter().enumerate().rev() {
                 total += f64::from(*arrivals);
-                if total > room {
-                    return number * LEVELS + level + 1;
+                if total > max_arrivals {
+                    return number * LEVELS_PER_CLASS + level + 1;
                 }
             }
         }
         0
     }
 
-    /// Whether the present window is so different that the past says nothing about it.
+    /// Whether the current window differs so much that the past does not predict it.
     fn has_changed(&self, window_us: u64) -> bool {
         let expected = match self.time_us > 0.0 {
             true => self.total * window_us as f64 / self.time_us,
             false => 0.0,
         };
         let arrivals = f64::from(self.arrivals);
-        let enough = f64::from(CHANGE_ARRIVALS);
-        arrivals > enough.max(expected * CHANGE) || expected > enough.max(arrivals * CHANGE)
+        let arrivals_min = f64::from(CHANGE_ARRIVALS_MIN);
+        arrivals > arrivals_min.max(expected * CHANGE_FACTOR)
+            || expected > arrivals_min.max(arrivals * CHANGE_FACTOR)
     }
 }
--- a/src/admission/share.rs
+++ b/src/admission/share.rs
@@ -1,7 +1,7 @@
-//! How a target's slots are divided between the arms.
+//! Division of a target's capacity between the arms.
 
-/// Whole slots for each share: in proportion, with the remainder going to the largest fractions, and
-/// at least one slot for each.
+/// Divides `total` into whole parts in proportion to `shares`: the remainder goes to the largest
+/// fractions, and each share gets at least 1.
 pub(super) fn divide(total: u32, shares: &[f64]) -> Vec<u32> {
     let sum: f64 = shares.iter().sum();
     let mut parts = Vec::with_capacity(shares.len());
@@ -12,9 +12,9 @@
         fractions.push((exact - exact.floor(), index));
     }
     fractions.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-    let given: u32 = parts.iter().sum();
-    let rest = total.saturating_sub(given) as usize;
-    for (_, index) in fractions.iter().take(rest) {
+    let divided: u32 = parts.iter().sum();
+    let remainder = total.saturating_sub(divided) as usize;
+    for (_, index) in fractions.iter().take(remainder) {
         parts[*index] += 1;
     }
     for part in &mut parts {
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,10 +1,10 @@
-//! The admission's rules, one by one, through its public interface.
+//! Tests the single rules of admission control through its public interface.
 
 use aspenspring::admission::{Admission, Cancelled, Candidate, Decision, End, TargetState};
 use aspenspring::call::{ArmId, AttemptId, ClassRank, Level, NodeId, RefusalReason};
 use aspenspring::config::Rules;
 
-const FAR_US: u64 = 60_000_000;
+const FAR_DEADLINE_US: u64 = 60_000_000;
 const OK: End = End::Answered { latency_us: 10_000, healthy: true };
 
 fn rules(limit: &str) -> Rules {
@@ -53,9 +53,13 @@
 fn waiting_calls_run_by_level_then_deadline_and_the_lowest_is_pushed_out() {
     let mut admission = serving(r#"{"kind": "static"}"#, 2);
     let mut out = Vec::new();
-    for (sequence, level, deadline_us) in
-        [(1, 5, FAR_US), (2, 5, FAR_US), (3, 5, FAR_US), (4, 6, FAR_US), (5, 6, FAR_US - 1)]
-    {
+    for (sequence, level, deadline_us) in [
+        (1, 5, FAR_DEADLINE_US),
+        (2, 5, FAR_DEADLINE_US),
+        (3, 5, FAR_DEADLINE_US),
+        (4, 6, FAR_DEADLINE_US),
+        (5, 6, FAR_DEADLINE_US - 1),
+    ] {
         admission.offer(0, call(sequence, level, deadline_us), &mut out);
     }
     assert_eq!(ran(&out), [1, 2]);
@@ -67,10 +71,10 @@
 }
 
 #[test]
-fn an_expired_call_never_runs_and_the_machine_wakes_for_it() {
+fn an_expired_call_never_runs_and_is_refused_at_its_deadline() {
     let mut admission = serving(r#"{"kind": "static"}"#, 1);
     let mut out = Vec::new();
-    admission.offer(0, call(1, 1, FAR_US), &mut out);
+    admission.offer(0, call(1, 1, FAR_DEADLINE_US), &mut out);
     admission.offer(0, call(2, 1, 5_000), &mut out);
     admission.offer(100, call(3, 1, 100), &mut out);
     assert_eq!(ran(&out), [1]);
@@ -83,11 +87,11 @@
 }
 
 #[test]
-fn cancelling_frees_the_place_at_once_but_the_slot_only_at_the_end() {
+fn cancelling_frees_the_queue_at_once_but_the_slot_only_at_the_end() {
     let mut admission = serving(r#"{"kind": "static"}"#, 1);
     let mut out = Vec::new();
     for sequence in 1..=2 {
-        admission.offer(0, call(sequence, 1, FAR_US), &mut out);
+        admission.offer(0, call(sequence, 1, FAR_DEADLINE_US), &mut out);
     }
     out.clear();
     assert_eq!(admission.cancel(0, attempt(2), &mut out), Cancelled::WasQueued);
@@ -100,32 +104,32 @@
 }
 
 #[test]
-fn a_target_that_leaves_or_is_gone_refuses_what_waits_and_what_comes() {
+fn a_draining_or_lost_target_refuses_queued_and_new_calls() {
     for (state, reason) in [
         (TargetState::Draining, RefusalReason::Leaving),
         (TargetState::Down, RefusalReason::NotReady),
     ] {
         let mut admission = serving(r#"{"kind": "static"}"#, 1);
         let mut out = Vec::new();
-        admission.offer(0, call(1, 1, FAR_US), &mut out);
-        admission.offer(0, call(2, 1, FAR_US), &mut out);
+        admission.offer(0, call(1, 1, FAR_DEADLINE_US), &mut out);
+        admission.offer(0, call(2, 1, FAR_DEADLINE_US), &mut out);
         out.clear();
         admission.set_target(10, state, 1, 20);
         assert_eq!(admission.next_wake_us(), Some(10));
         admission.poll(10, &mut out);
-        admission.offer(10, call(3, 1, FAR_US), &mut out);
+        admission.offer(10, call(3, 1, FAR_DEADLINE_US), &mut out);
         assert_eq!(refused(&out), [(2, reason), (3, reason)]);
         assert_eq!(admission.load(0, ArmId(0), ClassRank(0)).running, 1);
     }
 }
 
 #[test]
-fn a_cold_target_is_given_its_slots_by_and_by() {
+fn a_warming_target_gets_its_slots_gradually() {
     let mut admission = serving(r#"{"kind": "static"}"#, 10);
     admission.set_target(0, TargetState::Warming { since_us: 0 }, 10, 20);
     let mut out = Vec::new();
     for sequence in 0..12 {
-        admission.offer(0, call(sequence, 1, FAR_US), &mut out);
+        admission.offer(0, call(sequence, 1, FAR_DEADLINE_US), &mut out);
     }
     assert_eq!(ran(&out).len(), 1);
     admission.poll(500_000, &mut out);
@@ -136,17 +140,17 @@
 }
 
 #[test]
-fn without_control_everything_runs() {
+fn without_a_limit_everything_runs() {
     let mut admission = serving(r#"{"kind": "none"}"#, 1);
     let mut out = Vec::new();
     for sequence in 0..500 {
-        admission.offer(0, call(sequence, 1, FAR_US), &mut out);
+        admission.offer(0, call(sequence, 1, FAR_DEADLINE_US), &mut out);
     }
     assert_eq!(ran(&out).len(), 500);
 }
 
 #[test]
-fn floors_from_further_down_are_told_and_fade() {
+fn downstream_floors_are_reported_and_decay() {
     let mut admission = serving(r#"{"kind": "static"}"#, 1);
     admission.note_downstream(0, ArmId(0), ClassRank(1), "t", Level(0x180));
     let floor = |now_us, rank| admission.load(now_us, ArmId(0), ClassRank(rank)).floor;
@@ -165,23 +169,23 @@
 }
 
 /// An admission with four slots that has answered one call of 10 ms.
-fn warmed_up() -> Admission {
+fn with_one_answer() -> Admission {
     let mut admission = Admission::new(0, &rules_with_classes(), "s");
     admission.set_target(0, TargetState::Serving, 4, 40);
-    admission.offer(0, call(9_999, 0x300, FAR_US), &mut Vec::new());
+    admission.offer(0, call(9_999, 0x300, FAR_DEADLINE_US), &mut Vec::new());
     admission.finish(10_000, attempt(9_999), OK, &mut Vec::new());
     admission
 }
 
 #[test]
-fn slots_are_kept_for_a_class_that_uses_them_but_not_for_ever() {
-    let mut admission = warmed_up();
+fn slots_stay_reserved_for_a_class_that_used_them_but_not_forever() {
+    let mut admission = with_one_answer();
     let mut out = Vec::new();
     let mut now_us = 10_000;
     for sequence in 0..4 {
-        admission.offer(now_us, call(sequence, 0x300, FAR_US), &mut out);
+        admission.offer(now_us, call(sequence, 0x300, FAR_DEADLINE_US), &mut out);
     }
-    // The class keeps all slots in use for five seconds, then its calls end.
+    // The class uses all slots for five seconds, then its calls end.
     while now_us < 5_000_000 {
         now_us += 100_000;
         admission.poll(now_us, &mut out);
@@ -190,10 +194,10 @@
         admission.finish(now_us, attempt(sequence), OK, &mut out);
     }
     out.clear();
-    // The mean is just below four, so three slots are kept and one is left.
-    admission.offer(now_us, call(10, 0x100, FAR_US), &mut out);
-    admission.offer(now_us, call(11, 0x100, FAR_US), &mut out);
-    assert_eq!(ran(&out), [10], "the other slots are still kept");
+    // The class used just under four slots on average, so three are reserved and one is free.
+    admission.offer(now_us, call(10, 0x100, FAR_DEADLINE_US), &mut out);
+    admission.offer(now_us, call(11, 0x100, FAR_DEADLINE_US), &mut out);
+    assert_eq!(ran(&out), [10], "the other slots are still reserved");
     while ran(&out).len() < 2 {
         let wake_us = admission.next_wake_us().expect("a call waits");
         assert!(wake_us > now_us && wake_us < 15_000_000);
@@ -204,20 +208,20 @@
 }
 
 #[test]
-fn a_silent_target_gets_probes_only_until_it_answers() {
-    let mut admission = warmed_up();
+fn an_unresponsive_target_gets_only_probes_until_it_answers() {
+    let mut admission = with_one_answer();
     let mut out = Vec::new();
     for sequence in 0..4 {
-        admission.offer(20_000, call(sequence, 0x300, FAR_US), &mut out);
+        admission.offer(20_000, call(sequence, 0x300, FAR_DEADLINE_US), &mut out);
     }
-    // Nothing is answered for a second; the callers give up.
+    // Nothing is answered for a second, and the callers cancel.
     admission.poll(1_000_000, &mut out);
     for sequence in 0..4 {
         admission.finish(1_100_000, attempt(sequence), End::Cancelled, &mut out);
     }
     out.clear();
     for sequence in 10..14 {
-        admission.offer(1_200_000, call(sequence, 0x300, FAR_US), &mut out);
+        admission.offer(1_200_000, call(sequence, 0x300, FAR_DEADLINE_US), &mut out);
     }
     assert_eq!(ran(&out), [10]);
     admission.finish(1_210_000, attempt(10), OK, &mut out);
@@ -225,11 +229,11 @@
 }
 
 #[test]
-fn calls_that_seemed_too_late_do_not_lock_out_a_target_that_is_faster_now() {
-    let mut admission = warmed_up();
+fn a_target_that_has_become_faster_gets_calls_with_short_deadlines_again() {
+    let mut admission = with_one_answer();
     let mut out = Vec::new();
     let mut now_us = 100_000;
-    // Slow answers teach that nearly every call takes more than 100 ms.
+    // Slow answers raise the estimated minimum latency above 100 ms.
     for sequence in 0..700 {
         admission.offer(now_us, call(sequence, 0x300, u64::MAX), &mut out);
         now_us += 200_000;
@@ -239,7 +243,7 @@
     out.clear();
     admission.offer(now_us, call(1_000, 0x300, now_us + 100_000), &mut out);
     admission.offer(now_us, call(1_001, 0x300, now_us + 100_000), &mut out);
-    assert_eq!(ran(&out), [1_000], "one call runs although it seems to be too late");
+    assert_eq!(ran(&out), [1_000], "one call runs although it seems unable to meet its deadline");
     assert_eq!(refused(&out), [(1_001, RefusalReason::Expired)]);
     admission.finish(now_us, attempt(1_000), OK, &mut out);
     for sequence in 1_002..1_200 {
@@ -254,8 +258,8 @@
 }
 
 #[test]
-fn a_floor_without_any_traffic_comes_down_by_itself_and_callers_come_back_spread() {
-    let mut admission = warmed_up();
+fn a_floor_falls_without_traffic_and_retry_times_are_jittered() {
+    let mut admission = with_one_answer();
     let mut now_us = 20_000;
     let mut sequence = 0;
     let mut out = Vec::new();
@@ -263,7 +267,7 @@
         for _ in 0..20 {
             admission.offer(
                 now_us,
-                call(sequence, 0x100 + (sequence % 256) as u16, FAR_US),
+                call(sequence, 0x100 + (sequence % 256) as u16, FAR_DEADLINE_US),
                 &mut out,
             );
             sequence += 1;
@@ -281,7 +285,7 @@
     assert!(floor(&admission, now_us) > Level(0x100));
     out.clear();
     for sequence in 10_000..10_100 {
-        admission.offer(now_us, call(sequence, 0x100, FAR_US), &mut out);
+        admission.offer(now_us, call(sequence, 0x100, FAR_DEADLINE_US), &mut out);
     }
     let mut times = std::collections::BTreeSet::new();
     for decision in &out {
--- a/tests/admission_properties.rs
+++ b/tests/admission_properties.rs
@@ -1,8 +1,8 @@
-//! What holds for the admission whatever happens, checked over random histories.
+//! Property tests of admission control over random histories.
 //!
-//! The order: when a call is pushed out, no waiting call of its arm has a lower level; when a call
-//! is started, no waiting call of its arm has a higher one; when a call is shed, it is below the
-//! floor that is told to senders.
+//! Invariants on the order: when a call is evicted, no queued call of its arm has a lower level;
+//! when a call is started, no queued call of its arm has a higher one; when a call is shed, it is
+//! below the floor that is reported to senders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,10 +16,10 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Pass { us: u64 },
-    Offer { arm: u8, class: usize, hash: u8, patience_us: u64, times: u8 },
-    Finish { pick: usize, how: u8 },
-    Cancel { pick: usize },
+    Advance { us: u64 },
+    Offer { arm: u8, class: usize, hash: u8, timeout_us: u64, times: u8 },
+    Finish { index: usize, end_kind: u8 },
+    Cancel { index: usize },
     Poll,
     Resize { slots: u32 },
     State { state: u8 },
@@ -30,12 +30,12 @@
 fn step() -> impl Strategy<Value = Step> {
     let offer = (0..3u8, 0..3usize, any::<u8>(), 0..400_000u64, 1..12u8);
     prop_oneof![
-        6 => (0..60_000u64).prop_map(|us| Step::Pass { us }),
-        8 => offer.prop_map(|(arm, class, hash, patience_us, times)| Step::Offer {
-            arm, class, hash, patience_us, times
+        6 => (0..60_000u64).prop_map(|us| Step::Advance { us }),
+        8 => offer.prop_map(|(arm, class, hash, timeout_us, times)| Step::Offer {
+            arm, class, hash, timeout_us, times
         }),
-        8 => (any::<usize>(), 0..4u8).prop_map(|(pick, how)| Step::Finish { pick, how }),
-        2 => any::<usize>().prop_map(|pick| Step::Cancel { pick }),
+        8 => (any::<usize>(), 0..4u8).prop_map(|(index, end_kind)| Step::Finish { index, end_kind }),
+        2 => any::<usize>().prop_map(|index| Step::Cancel { index }),
         3 => Just(Step::Poll),
         1 => (0..12u32).prop_map(|slots| Step::Resize { slots }),
         1 => (0..8u8).prop_map(|state| Step::State { state }),
@@ -67,7 +67,7 @@
     serde_json::from_str(&text).expect("the rules are well formed")
 }
 
-/// What the history should have led to.
+/// The expected state after the history.
 struct Model {
     admission: Admission,
     arms: usize,
@@ -77,7 +77,7 @@
     calls: BTreeMap<AttemptId, Candidate>,
     running: BTreeMap<AttemptId, u64>,
     waiting: BTreeSet<AttemptId>,
-    /// The arm that decides on each call; it changes only when that arm goes.
+    /// The arm that decides on each call; it changes only when that arm is removed.
     arm_of: BTreeMap<AttemptId, ArmId>,
 }
 
@@ -104,29 +104,29 @@
         let mut out = Vec::new();
         let now_us = self.now_us;
         match *step {
-            Step::Pass { us } => self.now_us += us,
-            Step::Offer { arm, class, hash, patience_us, times } => {
+            Step::Advance { us } => self.now_us += us,
+            Step::Offer { arm, class, hash, timeout_us, times } => {
                 for number in 0..times {
                     let level = Level(u16::from(RANKS[class]) << 8 | u16::from(hash ^ number));
-                    self.offer(ArmId(arm), level, patience_us);
+                    self.offer(ArmId(arm), level, timeout_us);
                 }
             }
-            Step::Finish { pick, how } => {
-                let Some(attempt) = self.running.keys().nth(pick % self.running.len().max(1))
+            Step::Finish { index, end_kind } => {
+                let Some(attempt) = self.running.keys().nth(index % self.running.len().max(1))
                 else {
                     return;
                 };
                 let attempt = *attempt;
                 let latency_us = now_us - self.running[&attempt];
-                let end = match how {
+                let end = match end_kind {
                     0 => End::Failed { latency_us },
                     1 => End::Cancelled,
-                    how => End::Answered { latency_us, healthy: how == 2 },
+                    end_kind => End::Answered { latency_us, healthy: end_kind == 2 },
                 };
                 self.running.remove(&attempt);
                 self.admission.finish(now_us, attempt, end, &mut out);
             }
-            Step::Cancel { pick } => self.cancel(pick),
+            Step::Cancel { index } => self.cancel(index),
             Step::Poll => self.admission.poll(now_us, &mut out),
             Step::Resize { slots } => {
                 self.slots = slots;
@@ -158,14 +158,14 @@
                 self.admission.poll(now_us, &mut out);
             }
         }
-        self.take(&out, None);
+        self.check_decisions(&out, None);
         self.check_counts();
     }
 
-    fn offer(&mut self, arm: ArmId, level: Level, patience_us: u64) {
+    fn offer(&mut self, arm: ArmId, level: Level, timeout_us: u64) {
         let attempt = AttemptId { origin: NodeId(9), sequence: self.offered, nonce: 1 };
         self.offered += 1;
-        let deadline_us = self.now_us + patience_us;
+        let deadline_us = self.now_us + timeout_us;
         let call = Candidate { attempt, arm, level, deadline_us };
         let mut out = Vec::new();
         self.admission.offer(self.now_us, call, &mut out);
@@ -173,12 +173,12 @@
         let is_known = usize::from(arm.0) < self.arms;
         self.arm_of.insert(attempt, if is_known { arm } else { ArmId(0) });
         self.waiting.insert(attempt);
-        self.take(&out, Some(&call));
+        self.check_decisions(&out, Some(&call));
     }
 
-    fn cancel(&mut self, pick: usize) {
+    fn cancel(&mut self, index: usize) {
         let mut out = Vec::new();
-        let Some(attempt) = self.calls.keys().nth(pick % self.calls.len().max(1)).copied() else {
+        let Some(attempt) = self.calls.keys().nth(index % self.calls.len().max(1)).copied() else {
             return;
         };
         let found = self.admission.cancel(self.now_us, attempt, &mut out);
@@ -189,12 +189,12 @@
             _ => Cancelled::Unknown,
         };
         assert_eq!(found, expected);
-        self.take(&out, None);
+        self.check_decisions(&out, None);
         assert!(!self.waiting.contains(&attempt));
     }
 
-    /// Takes in decisions: each is the only one of its attempt, and in order.
-    fn take(&mut self, out: &[Decision], offered: Option<&Candidate>) {
+    /// Checks decisions: each is the only one of its attempt, and they follow the priority order.
+    fn check_decisions(&mut self, out: &[Decision], offered: Option<&Candidate>) {
         for decision in out {
             let attempt = decision.attempt();
             assert!(self.waiting.remove(&attempt), "a second decision on {attempt}");
@@ -210,7 +210,7 @@
                     assert_eq!(refusal.retry_after_ms == 0, is_final, "{refusal:?}");
                     if refusal.reason == RefusalReason::Shed {
                         let load = self.admission.load(self.now_us, call.arm, call.level.class());
-                        assert!(call.level < load.floor, "shed above the floor");
+                        assert!(call.level < load.floor, "shed at or above the floor");
                     }
                 }
             }
@@ -219,7 +219,7 @@
             let call = self.calls[&decision.attempt()];
             let arm = self.arm_of[&call.attempt];
             if arm == ArmId(1) {
-                // This arm's policy is first come, first served.
+                // This arm's queue is FIFO.
                 continue;
             }
             for waiting in &self.waiting {
@@ -240,7 +240,7 @@
         };
         let load = self.admission.load(self.now_us, call.arm, call.level.class());
         let ran = out.iter().any(|decision| matches!(decision, Decision::Run { .. }));
-        assert!(!ran || load.running <= load.limit, "started beyond the limit: {load:?}");
+        assert!(!ran || load.running <= load.limit, "started above the limit: {load:?}");
     }
 
     fn check_counts(&self) {
@@ -249,15 +249,15 @@
             let load = self.admission.load(self.now_us, ArmId(arm as u8), ClassRank(1));
             running += load.running as usize;
             queued += load.queued as usize;
-            // A target that announces no slots has those of the settings.
+            // For a target that announces no slots, the settings apply.
             let slots = if self.slots == 0 { 8 } else { self.slots };
             assert!(load.limit >= 1 && load.limit <= slots, "{load:?}");
         }
         assert_eq!((running, queued), (self.running.len(), self.waiting.len()));
     }
 
-    /// Ends everything; the machine comes to rest by waking when it says.
-    fn drain(&mut self) {
+    /// Finishes all calls and polls at each wake-up time until the state machine is idle.
+    fn finish_all(&mut self) {
         let mut wakes = 0;
         loop {
             let attempts: Vec<AttemptId> = self.running.keys().copied().collect();
@@ -265,21 +265,21 @@
                 let mut out = Vec::new();
                 self.running.remove(&attempt);
                 self.admission.finish(self.now_us, attempt, End::Cancelled, &mut out);
-                self.take(&out, None);
+                self.check_decisions(&out, None);
             }
             if !self.running.is_empty() {
-                // The slots that came free were taken by waiting calls.
+                // Queued calls have taken the freed slots.
                 continue;
             }
             let Some(wake_us) = self.admission.next_wake_us() else {
                 break;
             };
             wakes += 1;
-            assert!(wakes < 1_000, "the machine does not come to rest");
+            assert!(wakes < 1_000, "the state machine does not become idle");
             self.now_us = self.now_us.max(wake_us);
             let mut out = Vec::new();
             self.admission.poll(self.now_us, &mut out);
-            self.take(&out, None);
+            self.check_decisions(&out, None);
             let next_us = self.admission.next_wake_us();
             assert!(next_us.is_none_or(|next_us| next_us > self.now_us), "no progress");
         }
@@ -300,11 +300,11 @@
     })]
 
     #[test]
-    fn every_history_keeps_the_rules(steps in prop::collection::vec(step(), 1..150)) {
+    fn every_history_keeps_the_invariants(steps in prop::collection::vec(step(), 1..150)) {
         let mut model = Model::new();
         for step in &steps {
             model.apply(step);
         }
-        model.drain();
+        model.finish_all();
     }
 }
