--- a/src/routing/arms.rs
+++ b/src/routing/arms.rs
@@ -1,27 +1,26 @@
-//! The routing part of each arm's policy.
+//! The routing settings of each arm's policy.
 
 use crate::call::ArmId;
 use crate::config::{Rules, TargetChoice};
 
-/// How one arm chooses targets.
+/// The routing policy of one arm.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ArmPolicy {
-    /// The arm.
     pub id: ArmId,
-    /// The way a target is chosen.
+    /// How a target is chosen.
     pub choice: TargetChoice,
-    /// Whether targets whose floor is above the call's level are passed over.
+    /// Whether targets whose floor is above the call's level are skipped.
     pub refuse_early: bool,
     /// The arm's share of the slots of every target.
     pub share: f64,
 }
 
-/// The arms in force; never empty.
+/// The policies of the arms in force; never empty.
 #[derive(Clone, Debug)]
 pub(super) struct ArmPolicies(Vec<ArmPolicy>);
 
 impl ArmPolicies {
-    /// The arms of `rules`, or a single default one where there is none.
+    /// Creates the policies of the arms of `rules`, or a single default one if there is none.
     pub fn new(rules: &Rules) -> Self {
         let mut policies = Vec::with_capacity(rules.arms.len());
         for arm in &rules.arms {
@@ -46,33 +45,32 @@
         Self(policies)
     }
 
-    /// The place of `arm` among the arms, if it is in force.
-    pub fn place(&self, arm: ArmId) -> Option<usize> {
+    /// The index of `arm`, if it is in force.
+    pub fn position(&self, arm: ArmId) -> Option<usize> {
         self.0.iter().position(|policy| policy.id == arm)
     }
 
-    /// The place of the arm whose policy decides for `arm`: the first one where `arm` is not in
-    /// force here.
-    pub fn index(&self, arm: ArmId) -> usize {
-        self.place(arm).unwrap_or(0)
+    /// The index of the arm whose policy applies to `arm`: the first one if `arm` is not in force
+    /// here.
+    pub fn index_or_first(&self, arm: ArmId) -> usize {
+        self.position(arm).unwrap_or(0)
     }
 
-    /// The policy at `index`.
     pub fn get(&self, index: usize) -> &ArmPolicy {
         &self.0[index]
     }
 
-    /// How many arms there are.
+    /// The number of arms.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// For each arm of `self`, its place in `old`.
-    pub fn places_in(&self, old: &ArmPolicies) -> Vec<Option<usize>> {
-        let mut places = Vec::with_capacity(self.0.len());
+    /// For each arm of `self`, its index in `old`.
+    pub fn positions_in(&self, old: &ArmPolicies) -> Vec<Option<usize>> {
+        let mut positions = Vec::with_capacity(self.0.len());
         for policy in &self.0 {
-            places.push(old.place(policy.id));
+            positions.push(old.position(policy.id));
         }
-        places
+        positions
     }
 }
--- a/src/routing/cost.rs
+++ b/src/routing/cost.rs
@@ -1,155 +1,160 @@
-//! What it would cost to send the next attempt to a target; the cheaper of the sampled ones wins.
+//! The cost of sending the next attempt to a target. The cheapest of the sampled targets is picked.
 
 use super::record::ArmRecord;
 use super::target::Target;
 use crate::clock::US_PER_MS;
 
-/// What the own failure domain is worth while its targets are idle, as utilisation.
+/// The cost reduction for targets in the own failure domain while they are idle, in units of
+/// utilisation.
 const NEAR_BONUS: f64 = 0.5;
-/// The utilisation of a near target from which its nearness is worth nothing.
-const NEAR_BONUS_ENDS: f64 = 0.8;
-/// How much a target that always fails is made to look worse, beside being ejected. It answers fast
-/// and so looks idle; a well one is preferred until most of its slots are taken.
-const ERROR_FACTOR: f64 = 30.0;
-/// A target that is worse than usual by no more than this factor is taken to be well.
-const ILLNESS_TOLERANCE: f64 = 1.5;
-/// How many times worse than usual a target is that is called ill.
-const ILL_DEGRADATION: f64 = 2.0;
-/// By what part of its cost a target must be undercut to lose its turn.
-const CLEAR_MARGIN: f64 = 0.15;
-/// The share a target gets at the very beginning of its warm-up.
-const WARM_UP_START: f64 = 0.1;
-/// The share a target gets at first when it is let in again.
-const RAMP_START: f64 = 0.25;
-/// How long a target that was let in again gets less than its share.
-const RAMP_US: u64 = 1_000 * US_PER_MS;
-
-/// What targets of one service usually show in one arm.
+/// The utilisation at which the reduction for a near target reaches zero.
+const NEAR_BONUS_UTILISATION_MAX: f64 = 0.8;
+/// The penalty for a target that always fails, in addition to ejection. Such a target answers fast
+/// and so looks idle; a healthy one is preferred until most of its slots are in use.
+const ERROR_PENALTY: f64 = 30.0;
+/// A target that is worse than the baseline by no more than this factor counts as healthy.
+const DEGRADATION_TOLERANCE: f64 = 1.5;
+/// The factor from which a target that is worse than the baseline counts as degraded.
+const DEGRADED_MIN: f64 = 2.0;
+/// The share of its cost by which another target must be cheaper to replace the one whose turn it
+/// is.
+const COST_MARGIN: f64 = 0.15;
+/// The fraction of its share that a target gets at the start of its warm-up.
+const WARM_UP_START_SHARE: f64 = 0.1;
+/// The fraction of its share that a readmitted target gets at first.
+const READMITTED_START_SHARE: f64 = 0.25;
+/// How long a readmitted target gets less than its share.
+const READMITTED_RAMP_US: u64 = 1_000 * US_PER_MS;
+
+/// The baseline of one service in one arm, against which its targets are compared.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Usual {
-    /// The median of the smoothed latencies, in microseconds; 0 where there is none.
+pub(super) struct Baseline {
+    /// The lower median of the smoothed latencies, in microseconds; 0 if there is none.
     pub latency_us: f32,
-    /// The least of the smoothed shares of errors.
+    /// The lowest of the smoothed error rates.
     pub errors: f32,
 }
 
-/// What is the same for all targets that one attempt may go to.
+/// The inputs to the cost that are the same for all targets of one attempt.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Terms {
-    /// The present time.
+pub(super) struct CostInput {
+    /// The current time.
     pub now_us: u64,
-    /// The place of the arm.
+    /// The index of the arm.
     pub arm: usize,
     /// The arm's share of the slots.
     pub arm_share: f64,
     /// How long targets of the service warm up.
     pub warm_up_us: u64,
-    /// What targets of the service usually show.
-    pub usual: Usual,
+    /// The baseline of the service.
+    pub baseline: Baseline,
 }
 
 /// The cost of one target.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Cost {
-    /// The cost without regard to failure domains.
+    /// The cost, regardless of failure domains.
     pub total: f64,
-    /// Calls at the target as a share of what it can run.
+    /// Calls at the target as a share of its capacity.
     pub utilisation: f64,
-    /// How much worse than usual the target is, 1 when it is not.
+    /// How much worse than the baseline the target is, 1 if it is not.
     pub degradation: f64,
-    /// Whether it stands in the own failure domain.
+    /// Whether it is in the own failure domain.
     near: bool,
 }
 
 impl Cost {
     /// The cost of sending the next attempt to `target`.
     ///
-    /// A target that is faster than usual gains nothing by it: one that fails fast would look best.
-    pub fn of(target: &Target, terms: &Terms) -> Self {
+    /// A target that is faster than the baseline gets no advantage from it: otherwise one that
+    /// fails fast would be the cheapest.
+    pub fn of(target: &Target, input: &CostInput) -> Self {
         let unknown = ArmRecord::default();
-        let record = target.record(terms.arm).unwrap_or(&unknown);
-        let arm_slots = f64::from(target.slots) * terms.arm_share;
-        let capacity = record.capacity(terms.now_us, arm_slots);
-        let utilisation = record.load(terms.now_us) / capacity;
-        let degradation =
-            illness(record, terms) / (warmth(target, terms) * ramp(record, terms.now_us));
+        let record = target.record(input.arm).unwrap_or(&unknown);
+        let arm_slots = f64::from(target.slots) * input.arm_share;
+        let capacity = record.capacity(input.now_us, arm_slots);
+        let utilisation = record.load(input.now_us) / capacity;
+        let degradation = degradation_of(record, input)
+            / (warm_up_fraction(target, input) * readmission_fraction(record, input.now_us));
         let total = (utilisation + 1.0 / capacity) * degradation;
         Self { total, utilisation, degradation, near: target.near }
     }
 
-    /// The cost of a target that is not there.
-    pub fn never() -> Self {
+    /// The cost of a missing target.
+    pub fn unavailable() -> Self {
         Self { total: f64::INFINITY, utilisation: 0.0, degradation: f64::INFINITY, near: false }
     }
 
-    /// Whether a target of this cost is to be preferred to one of the cost `other`.
-    pub fn beats(&self, other: &Cost) -> bool {
+    /// Whether a target of this cost is preferred to one of the cost `other`.
+    pub fn is_below(&self, other: &Cost) -> bool {
         self.total - self.near_bonus() < other.total - other.near_bonus()
     }
 
-    /// Whether a target of this cost is better by more than the reports can be trusted.
-    pub fn clearly_beats(&self, other: &Cost) -> bool {
-        let margin = CLEAR_MARGIN * other.total;
+    /// Whether a target of this cost is preferred by more than the inaccuracy of the load reports.
+    pub fn is_clearly_below(&self, other: &Cost) -> bool {
+        let margin = COST_MARGIN * other.total;
         self.total - self.near_bonus() < other.total - other.near_bonus() - margin
     }
 
-    /// Whether the target has been so much worse than usual that its turn means little.
-    pub fn is_ill(&self) -> bool {
-        self.degradation >= ILL_DEGRADATION
+    /// Whether the target is so much worse than the baseline that its turn should not count.
+    pub fn is_degraded(&self) -> bool {
+        self.degradation >= DEGRADED_MIN
     }
 
-    /// What nearness is worth: less the busier the target is, and nothing for one that is ill.
+    /// The cost reduction for a near target: it falls with the utilisation, and a degraded target
+    /// gets none.
     fn near_bonus(&self) -> f64 {
         if !self.near {
             return 0.0;
         }
-        let idle = (1.0 - self.utilisation / NEAR_BONUS_ENDS).max(0.0);
-        let well = (2.0 - self.degradation).clamp(0.0, 1.0);
-        NEAR_BONUS * idle * well
+        let idle = (1.0 - self.utilisation / NEAR_BONUS_UTILISATION_MAX).max(0.0);
+        let health = (2.0 - self.degradation).clamp(0.0, 1.0);
+        NEAR_BONUS * idle * health
     }
 }
 
-/// How much worse than usual the target has been, at least 1.
+/// How much worse than the baseline the target has been, at least 1.
 ///
-/// Small differences are noise, and count nothing: between idle targets they would decide every
-/// time, and the one that looked a little worse would get no call that could show otherwise.
-fn illness(record: &ArmRecord, terms: &Terms) -> f64 {
-    let seen = slowness(record, terms) * unreliability(record, terms) / ILLNESS_TOLERANCE;
-    1.0 + (seen - 1.0).max(0.0) * record.memory(terms.now_us)
+/// Small differences are noise and are ignored: between idle targets they would decide every time,
+/// and the target that looked slightly worse would get no call that could show otherwise.
+fn degradation_of(record: &ArmRecord, input: &CostInput) -> f64 {
+    let measured =
+        latency_factor(record, input) * error_factor(record, input) / DEGRADATION_TOLERANCE;
+    1.0 + (measured - 1.0).max(0.0) * record.weight(input.now_us)
 }
 
-/// The latency as a multiple of the usual one, at least 1.
-fn slowness(record: &ArmRecord, terms: &Terms) -> f64 {
-    let usual_us = terms.usual.latency_us;
-    if usual_us <= 0.0 {
+/// The latency as a multiple of the baseline, at least 1.
+fn latency_factor(record: &ArmRecord, input: &CostInput) -> f64 {
+    let baseline_us = input.baseline.latency_us;
+    if baseline_us <= 0.0 {
         return 1.0;
     }
-    f64::from(record.apparent_latency_us(terms.now_us) / usual_us).max(1.0)
+    f64::from(record.apparent_latency_us(input.now_us) / baseline_us).max(1.0)
 }
 
-/// A factor that grows with the square of errors beyond the usual share, at least 1: single errors
-/// hardly count.
-fn unreliability(record: &ArmRecord, terms: &Terms) -> f64 {
-    let excess = f64::from(record.errors - terms.usual.errors).max(0.0);
-    1.0 + ERROR_FACTOR * excess * excess
+/// A factor that grows with the square of the error rate above the baseline, at least 1: single
+/// errors hardly count.
+fn error_factor(record: &ArmRecord, input: &CostInput) -> f64 {
+    let excess = f64::from(record.errors - input.baseline.errors).max(0.0);
+    1.0 + ERROR_PENALTY * excess * excess
 }
 
-/// The share of its work that a new target may get, from just above 0 to 1.
-fn warmth(target: &Target, terms: &Terms) -> f64 {
-    let age_us = terms.now_us.saturating_sub(target.first_seen_us);
-    rise(age_us, terms.warm_up_us, WARM_UP_START)
+/// The fraction of its share that a new target may get, from just above 0 to 1.
+fn warm_up_fraction(target: &Target, input: &CostInput) -> f64 {
+    let age_us = input.now_us.saturating_sub(target.first_seen_us);
+    linear_ramp(age_us, input.warm_up_us, WARM_UP_START_SHARE)
 }
 
-/// The share of its work that a target may get after it was let in again.
-fn ramp(record: &ArmRecord, now_us: u64) -> f64 {
+/// The fraction of its share that a readmitted target may get.
+fn readmission_fraction(record: &ArmRecord, now_us: u64) -> f64 {
     let Some(readmitted_us) = record.readmitted_us else {
         return 1.0;
     };
-    rise(now_us.saturating_sub(readmitted_us), RAMP_US, RAMP_START)
+    linear_ramp(now_us.saturating_sub(readmitted_us), READMITTED_RAMP_US, READMITTED_START_SHARE)
 }
 
-/// A straight line from `start` at age 0 to 1 at age `span_us`.
-fn rise(age_us: u64, span_us: u64, start: f64) -> f64 {
+/// A linear ramp from `start` at age 0 to 1 at age `span_us`.
+fn linear_ramp(age_us: u64, span_us: u64, start: f64) -> f64 {
     if age_us >= span_us {
         return 1.0;
     }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,7 +1,7 @@
-//! Which target gets the next attempt.
+//! Load balancing on the sending node: picks the target of each attempt.
 //!
-//! [`Router`] knows the targets of the services this node calls, what their answers said about
-//! them, and picks one for each attempt. Nothing here does I/O or reads a clock.
+//! [`Router`] holds the targets of the services that this node calls and what their answers have
+//! shown about them. Nothing here does I/O or reads a clock.
 
 mod arms;
 mod cost;
--- a/src/routing/observe.rs
+++ b/src/routing/observe.rs
@@ -1,4 +1,4 @@
-//! What settled attempts teach, and what operators see of it.
+//! Learns from settled attempts, and reports the state of the targets to operators.
 
 use super::health;
 use super::router::{Observation, Outcome, Router};
@@ -6,15 +6,16 @@
 use super::view::{ArmView, LinkState, PeerView};
 use crate::call::{ArmId, LoadReport, NodeId, RefusalReason};
 
-/// How much a refusal for want of room counts as a failure.
-const CROWDED_FAILURE: f32 = 0.5;
+/// The weight of a refusal for lack of capacity as a failure.
+const CAPACITY_REFUSAL_WEIGHT: f32 = 0.5;
 
 impl Router {
     /// Counts an attempt of `arm` that is sent to `node`.
     ///
-    /// Attempts of arms that are not in force here are neither counted nor learnt from.
+    /// Attempts of arms that are not in force here are neither counted nor used to update
+    /// statistics.
     pub fn sent(&mut self, now_us: u64, node: NodeId, arm: ArmId) {
-        let Some(arm) = self.policies.place(arm) else {
+        let Some(arm) = self.policies.position(arm) else {
             return;
         };
         let arms = self.policies.len();
@@ -23,76 +24,77 @@
         }
     }
 
-    /// Takes in how an attempt that was sent to `node` was settled.
+    /// Records how an attempt that was sent to `node` was settled.
     pub fn observed(&mut self, now_us: u64, node: NodeId, seen: &Observation) {
         let leaving = seen.load.is_some_and(|load: LoadReport| load.leaving);
         if leaving || seen.outcome == Outcome::Refused(RefusalReason::Leaving) {
             self.set_leaving(node);
         }
-        let Some(arm) = self.policies.place(seen.arm) else {
+        let Some(arm) = self.policies.position(seen.arm) else {
             return;
         };
         let arms = self.policies.len();
-        let Some(&slot) = self.slots.get(&node) else {
+        let Some(&target_index) = self.index_by_node.get(&node) else {
             return;
         };
-        let Some(target) = self.targets[slot].as_mut() else {
+        let Some(target) = self.targets[target_index].as_mut() else {
             return;
         };
         let state = &mut self.services[target.service].arms[arm];
-        state.unreviewed += 1;
+        state.settled_since_review += 1;
         let connected = target.link == Link::Up;
         let record = target.record_mut(arm, arms);
         record.settled(now_us);
         let waited_us = seen.latency_us as f32;
         if let Some(load) = &seen.load {
             record.report(now_us, load);
-            record.floors.tell(now_us, seen.class, load.floor);
-            state.floors.tell(now_us, seen.class, load.floor);
+            record.floors.record(now_us, seen.class, load.floor);
+            state.floors.record(now_us, seen.class, load.floor);
         }
         match seen.outcome {
             Outcome::Answered { healthy: true } => {
                 record.add_latency(seen.latency_us);
                 record.add_error(0.0);
-                health::settle_probe(record, now_us, state.usual, Some(seen.latency_us));
+                health::settle_probe(record, now_us, state.baseline, Some(seen.latency_us));
             }
             Outcome::Answered { healthy: false } => {
                 record.add_error(1.0);
-                health::settle_probe(record, now_us, state.usual, None);
+                health::settle_probe(record, now_us, state.baseline, None);
             }
-            // A lost connection takes all that was on it along, which says little of the target.
+            // All attempts on a lost connection fail together, which says little about the target.
             Outcome::Lost if !connected => {}
-            // The caller gave up, or the deadline came, before an answer was due.
-            Outcome::Lost if seen.load.is_none() && health::is_usual(waited_us, state.usual) => {}
+            // The caller cancelled, or the deadline passed, before an answer was due.
+            Outcome::Lost
+                if seen.load.is_none() && health::is_near_baseline(waited_us, state.baseline) => {}
             Outcome::Lost => {
                 record.add_latency_at_least(seen.latency_us);
                 record.add_error(1.0);
-                health::settle_probe(record, now_us, state.usual, None);
+                health::settle_probe(record, now_us, state.baseline, None);
             }
             Outcome::Refused(reason) => {
-                if let Some(failure) = failure_of(reason) {
+                if let Some(failure) = failure_weight(reason) {
                     record.add_error(failure);
-                    health::settle_probe(record, now_us, state.usual, None);
+                    health::settle_probe(record, now_us, state.baseline, None);
                 }
             }
         }
     }
 
-    /// What operators see, in the order of services and nodes.
+    /// The state of all targets as operators see it, ordered by service and node.
     pub fn view(&self, now_us: u64) -> Vec<PeerView> {
-        let mut views = Vec::with_capacity(self.slots.len());
-        for (slot, target) in self.targets.iter().enumerate() {
+        let mut views = Vec::with_capacity(self.index_by_node.len());
+        for (target_index, target) in self.targets.iter().enumerate() {
             let Some(target) = target else {
                 continue;
             };
-            views.push(self.view_of(now_us, slot, target));
+            views.push(self.view_of(now_us, target_index, target));
         }
         views.sort_by(|left, right| (&left.service, left.node).cmp(&(&right.service, right.node)));
         views
     }
 
-    /// What operators see of one target.
-    fn view_of(&self, now_us: u64, slot: usize, target: &Target) -> PeerView {
+    /// The state of one target as operators see it.
+    fn view_of(&self, now_us: u64, target_index: usize, target: &Target) -> PeerView {
         let service = &self.services[target.service];
         let link = match target.link {
             Link::Up => LinkState::Up,
@@ -117,7 +119,7 @@
             service: service.name.clone(),
             address: target.address,
             near: target.near,
-            active: service.active.contains(&slot),
+            active: service.active.contains(&target_index),
             leaving: target.leaving,
             link,
             arms,
@@ -125,14 +127,15 @@
     }
 }
 
-/// How much a refusal says that the target is unfit, from 0 to 1; none where it says nothing.
-fn failure_of(reason: RefusalReason) -> Option<f32> {
+/// The weight of a refusal as a failure of the target, from 0 to 1; none if it says nothing about
+/// the target.
+fn failure_weight(reason: RefusalReason) -> Option<f32> {
     match reason {
         RefusalReason::NotReady | RefusalReason::NoTarget | RefusalReason::TargetUnreachable => {
             Some(1.0)
         }
         RefusalReason::QueueFull | RefusalReason::NodeFull | RefusalReason::TargetDeclined => {
-            Some(CROWDED_FAILURE)
+            Some(CAPACITY_REFUSAL_WEIGHT)
         }
         _ => None,
     }
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -1,31 +1,31 @@
-//! The targets one node knows, and the events that change them.
+//! The targets known to one node, and the events that change them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use super::arms::ArmPolicies;
-use super::cost::Usual;
-use super::floor::FloorMemory;
+use super::cost::Baseline;
+use super::floor::FloorReports;
 use super::subset::{ACTIVE_TARGETS, Ranked, Ranking, rendezvous_order};
 use super::target::{Link, Target};
 use crate::call::{ArmId, ClassRank, Level, LoadReport, NodeId, RefusalReason};
 use crate::clock::US_PER_MS;
 use crate::config::{Rules, ServiceSettings};
 
-/// A target as the membership knows it.
+/// A target as known from the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// The node beside the target.
+    /// The target's node.
     pub node: NodeId,
-    /// The service of the target.
+    /// The target's service.
     pub service: String,
-    /// The failure domain it stands in.
+    /// Its failure domain.
     pub failure_domain: String,
-    /// Where its node listens for other nodes.
+    /// The address at which its node listens for other nodes.
     pub address: SocketAddr,
-    /// How many calls it runs at once.
+    /// How many calls it can run at the same time.
     pub slots: u32,
-    /// Whether it takes no new work for good.
+    /// Whether it is draining: it accepts no new calls, permanently.
     pub leaving: bool,
     /// When it was first seen, for the slow start.
     pub first_seen_us: u64,
@@ -40,13 +40,13 @@
     pub arm: ArmId,
     /// The class of the root.
     pub class: ClassRank,
-    /// Where the call stands in the order of shedding.
+    /// The call's priority: lower levels are shed first.
     pub level: Level,
     /// Nodes that must not be picked, because earlier attempts of the hop failed there.
     pub avoid: &'a [NodeId],
 }
 
-/// How an attempt ended, as far as it tells something about its target.
+/// The outcome of an attempt, as far as it concerns the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The target answered.
@@ -56,13 +56,12 @@
     },
     /// The receiving node did not run it.
     Refused(RefusalReason),
-    /// Nobody can say: no answer came, or the receiving node answered that its target broke off.
-    /// It is held against the target in the second case, and in the first where an answer was
-    /// overdue.
+    /// Unknown: no answer came, or the receiving node answered that its target broke off. Counts as
+    /// a failure of the target in the second case, and in the first if an answer was overdue.
     Lost,
 }
 
-/// What a settled attempt tells about its target.
+/// The result of a settled attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation {
     /// The arm of the root.
@@ -71,78 +70,80 @@
     pub class: ClassRank,
     /// The time from sending until the attempt was settled.
     pub latency_us: u64,
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The load that came with the answer.
+    /// The load that was reported with the answer.
     pub load: Option<LoadReport>,
 }
 
-/// What one arm keeps about one service.
+/// The state of one service in one arm.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServiceArm {
-    /// What its targets usually show.
-    pub usual: Usual,
-    /// When that was last worked out.
+    /// The baseline of its targets.
+    pub baseline: Baseline,
+    /// When the baseline was last computed.
     pub reviewed_us: u64,
     /// Attempts settled since then.
-    pub unreviewed: u32,
-    /// Where the turns stand.
+    pub settled_since_review: u32,
+    /// The position of the round-robin turn.
     pub cursor: usize,
-    /// What any of its targets told last.
-    pub floors: FloorMemory,
+    /// The floors last reported by any of its targets.
+    pub floors: FloorReports,
 }
 
 /// The targets of one service.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Service {
-    /// Its name.
     pub name: String,
     /// How long its targets warm up.
     pub warm_up_us: u64,
-    /// All its targets.
+    /// All its targets, ranked.
     pub ranking: Ranking,
-    /// The slots of those this sender uses; none of them is leaving or has lost its connection.
+    /// The indexes of the targets that this sender uses; none of them is leaving or has lost its
+    /// connection.
     pub active: Vec<usize>,
-    /// What each arm keeps about it.
+    /// The state in each arm.
     pub arms: Vec<ServiceArm>,
 }
 
-/// Chooses targets for attempts, and learns from how they end.
+/// Chooses targets for attempts, and learns from the outcomes.
 ///
-/// It holds the targets of the services this node calls; it uses at most a bounded number of each
-/// service's. A pick looks at these only, so it costs the same however many targets there are.
+/// It holds the targets of the services that this node calls, and uses at most a bounded number of
+/// targets for each service. A pick considers only these, so its cost does not depend on the number
+/// of known targets.
 #[derive(Debug)]
 pub struct Router {
-    /// The node that sends.
+    /// The sending node.
     pub(super) own: NodeId,
-    /// The failure domain it stands in.
+    /// Its failure domain.
     pub(super) own_failure_domain: String,
-    /// How many targets of one service are used at most.
+    /// The maximum number of targets used for one service.
     pub(super) active_max: usize,
     /// The arms in force.
     pub(super) policies: ArmPolicies,
-    /// The classes whose calls are no probes, because they cannot be sent again once they ran.
+    /// The classes whose calls are not used as probes, because they must not be retried once they
+    /// ran.
     pub(super) at_most_once: Vec<ClassRank>,
-    /// Warm-up of services by name.
+    /// Warm-up times of services, by name.
     pub(super) warm_ups_us: HashMap<String, u64>,
-    /// The targets; a free place is none.
+    /// The targets; a free entry is none.
     pub(super) targets: Vec<Option<Target>>,
-    /// The free places among the targets.
-    pub(super) free: Vec<usize>,
-    /// The place of each node's target.
-    pub(super) slots: HashMap<NodeId, usize>,
+    /// The indexes of the free entries.
+    pub(super) free_indexes: Vec<usize>,
+    /// The index of each node's target.
+    pub(super) index_by_node: HashMap<NodeId, usize>,
     /// The node at each address.
-    pub(super) addresses: HashMap<SocketAddr, NodeId>,
-    /// The services, never taken out.
+    pub(super) node_by_address: HashMap<SocketAddr, NodeId>,
+    /// The services; never removed.
     pub(super) services: Vec<Service>,
-    /// The place of each service.
-    pub(super) service_places: HashMap<String, usize>,
-    /// Reused by picks.
+    /// The index of each service, by name.
+    pub(super) service_indexes: HashMap<String, usize>,
+    /// A buffer reused by picks.
     pub(super) candidates: Vec<usize>,
 }
 
 impl Router {
-    /// A router of the node `own`, which stands in `own_failure_domain`, that knows no target yet.
+    /// Creates the router of the node `own` in `own_failure_domain`, without any targets.
     pub fn new(own: NodeId, own_failure_domain: &str, rules: &Rules) -> Self {
         let mut router = Self {
             own,
@@ -152,41 +153,41 @@
             at_most_once: Vec::new(),
             warm_ups_us: HashMap::new(),
             targets: Vec::new(),
-            free: Vec::new(),
-            slots: HashMap::new(),
-            addresses: HashMap::new(),
+            free_indexes: Vec::new(),
+            index_by_node: HashMap::new(),
+            node_by_address: HashMap::new(),
             services: Vec::new(),
-            service_places: HashMap::new(),
+            service_indexes: HashMap::new(),
             candidates: Vec::new(),
         };
         router.apply_rules(rules);
         router
     }
 
-    /// Uses at most `active_max` targets of each service from now on.
+    /// Sets the maximum number of targets used for each service.
     pub fn set_active_max(&mut self, active_max: usize) {
         self.active_max = active_max.max(1);
-        for place in 0..self.services.len() {
-            self.choose_active(place);
+        for service_index in 0..self.services.len() {
+            self.choose_active(service_index);
         }
     }
 
-    /// Puts new rules in force. What was learnt about targets is kept for arms that stay.
+    /// Applies new rules. Statistics of targets are kept for arms that stay.
     pub fn apply_rules(&mut self, rules: &Rules) {
         let policies = ArmPolicies::new(rules);
-        let places = policies.places_in(&self.policies);
+        let positions = policies.positions_in(&self.policies);
         for target in self.targets.iter_mut().flatten() {
             if target.records.is_empty() {
                 continue;
             }
-            target.records = rearrange(&target.records, &places);
+            target.records = remap(&target.records, &positions);
         }
         self.warm_ups_us.clear();
         for ServiceSettings { name, warm_up_ms, .. } in &rules.services {
             self.warm_ups_us.insert(name.clone(), warm_up_ms * US_PER_MS);
         }
         for service in &mut self.services {
-            service.arms = rearrange(&service.arms, &places);
+            service.arms = remap(&service.arms, &positions);
             service.warm_up_us = self.warm_ups_us.get(&service.name).copied().unwrap_or(0);
         }
         self.at_most_once.clear();
@@ -198,13 +199,13 @@
         self.policies = policies;
     }
 
-    /// Adds a target or takes in what changed about it.
+    /// Adds or updates a target.
     ///
-    /// A target that was leaving stays so, and a lost connection stays lost until [`Self::link_up`]:
-    /// a node that comes back does so under a new identity.
+    /// A target that was leaving stays so, and a lost connection stays lost until
+    /// [`Self::link_up`]: a node that returns does so under a new identity.
     pub fn put(&mut self, _now_us: u64, peer: Peer) {
-        let known = self.take_out(peer.node);
-        let service = self.service_place(&peer.service);
+        let known = self.detach(peer.node);
+        let service = self.service_index(&peer.service);
         let mut target = Target {
             node: peer.node,
             service,
@@ -218,30 +219,31 @@
         };
         if let Some(known) = known {
             self.choose_active(known.service);
-            target.keep(known);
+            target.inherit(known);
         }
         self.add(target);
         self.choose_active(service);
     }
 
-    /// Forgets a target.
+    /// Removes a target.
     pub fn remove(&mut self, _now_us: u64, node: NodeId) {
-        if let Some(target) = self.take_out(node) {
+        if let Some(target) = self.detach(node) {
             self.choose_active(target.service);
         }
     }
 
-    /// Where the node listens.
+    /// The address at which the node listens.
     pub fn address(&self, node: NodeId) -> Option<SocketAddr> {
         self.target(node).map(|target| target.address)
     }
 
     /// The node that listens at `address`.
     pub fn node_at(&self, address: SocketAddr) -> Option<NodeId> {
-        self.addresses.get(&address).copied()
+        self.node_by_address.get(&address).copied()
     }
 
-    /// The connection to the node was lost: nothing is sent there until it is up again.
+    /// Records that the connection to the node was lost: nothing is sent there until it is up
+    /// again.
     pub fn link_lost(&mut self, now_us: u64, node: NodeId) {
         let Some(target) = self.target_mut(node) else {
             return;
@@ -254,8 +256,8 @@
         self.choose_active(service);
     }
 
-    /// The connection to the node carries calls again. What went wrong on the old connection is
-    /// not held against the target, but it gets its share back step by step.
+    /// Records that the connection to the node is up again. Failures on the old connection do not
+    /// count against the target, but its share grows back gradually.
     pub fn link_up(&mut self, now_us: u64, node: NodeId) {
         let Some(target) = self.target_mut(node) else {
             return;
@@ -271,48 +273,48 @@
         self.choose_active(service);
     }
 
-    /// Takes in a heartbeat of the node, whose load is over all arms.
+    /// Records a heartbeat of the node, whose load covers all arms.
     pub fn heartbeat(&mut self, _now_us: u64, node: NodeId, load: &LoadReport) {
         if load.leaving {
             self.set_leaving(node);
         }
     }
 
-    /// The nodes of `service` this sender uses at present.
+    /// The nodes of `service` that this sender currently uses.
     pub fn active(&self, service: &str) -> Vec<NodeId> {
-        let Some(&place) = self.service_places.get(service) else {
+        let Some(&service_index) = self.service_indexes.get(service) else {
             return Vec::new();
         };
         let mut nodes = Vec::new();
-        for &slot in &self.services[place].active {
-            nodes.extend(self.targets[slot].as_ref().map(|target| target.node));
+        for &target_index in &self.services[service_index].active {
+            nodes.extend(self.targets[target_index].as_ref().map(|target| target.node));
         }
         nodes
     }
 
-    /// How many targets are known.
+    /// The number of known targets.
     pub fn len(&self) -> usize {
-        self.slots.len()
+        self.index_by_node.len()
     }
 
     /// Whether no target is known.
     pub fn is_empty(&self) -> bool {
-        self.slots.is_empty()
+        self.index_by_node.is_empty()
     }
 
-    /// The target beside `node`.
+    /// The target of `node`.
     pub(super) fn target(&self, node: NodeId) -> Option<&Target> {
-        let slot = *self.slots.get(&node)?;
-        self.targets[slot].as_ref()
+        let target_index = *self.index_by_node.get(&node)?;
+        self.targets[target_index].as_ref()
     }
 
-    /// The target beside `node`, to be changed.
+    /// The target of `node`, mutable.
     pub(super) fn target_mut(&mut self, node: NodeId) -> Option<&mut Target> {
-        let slot = *self.slots.get(&node)?;
-        self.targets[slot].as_mut()
+        let target_index = *self.index_by_node.get(&node)?;
+        self.targets[target_index].as_mut()
     }
 
-    /// Sends nothing more to the node for good.
+    /// Sends nothing more to the node, permanently.
     pub(super) fn set_leaving(&mut self, node: NodeId) {
         let Some(target) = self.target_mut(node) else {
             return;
@@ -325,62 +327,63 @@
         self.choose_active(service);
     }
 
-    /// The place of the service called `name`, made where there is none.
-    fn service_place(&mut self, name: &str) -> usize {
-        if let Some(&place) = self.service_places.get(name) {
-            return place;
+    /// The index of the service called `name`, added if there is none.
+    fn service_index(&mut self, name: &str) -> usize {
+        if let Some(&index) = self.service_indexes.get(name) {
+            return index;
         }
-        let place = self.services.len();
+        let index = self.services.len();
         let mut service = Service { name: name.to_owned(), ..Service::default() };
         service.warm_up_us = self.warm_ups_us.get(name).copied().unwrap_or(0);
         service.arms.resize_with(self.policies.len(), ServiceArm::default);
         self.services.push(service);
-        self.service_places.insert(name.to_owned(), place);
-        place
+        self.service_indexes.insert(name.to_owned(), index);
+        index
     }
 
-    /// Adds a target that is not known.
+    /// Adds an unknown target.
     fn add(&mut self, target: Target) {
-        let slot = self.free.pop().unwrap_or(self.targets.len());
-        if slot == self.targets.len() {
+        let target_index = self.free_indexes.pop().unwrap_or(self.targets.len());
+        if target_index == self.targets.len() {
             self.targets.push(None);
         }
         let order = rendezvous_order(self.own, target.node);
-        self.services[target.service].ranking.insert(target.near, Ranked { order, slot });
-        self.slots.insert(target.node, slot);
-        self.addresses.insert(target.address, target.node);
-        self.targets[slot] = Some(target);
+        self.services[target.service].ranking.insert(target.near, Ranked { order, target_index });
+        self.index_by_node.insert(target.node, target_index);
+        self.node_by_address.insert(target.address, target.node);
+        self.targets[target_index] = Some(target);
     }
 
-    /// Takes a target out.
-    fn take_out(&mut self, node: NodeId) -> Option<Target> {
-        let slot = self.slots.remove(&node)?;
-        let target = self.targets[slot].take()?;
-        self.free.push(slot);
-        if self.addresses.get(&target.address) == Some(&node) {
-            self.addresses.remove(&target.address);
+    /// Removes a target and returns it.
+    fn detach(&mut self, node: NodeId) -> Option<Target> {
+        let target_index = self.index_by_node.remove(&node)?;
+        let target = self.targets[target_index].take()?;
+        self.free_indexes.push(target_index);
+        if self.node_by_address.get(&target.address) == Some(&node) {
+            self.node_by_address.remove(&target.address);
         }
         let order = rendezvous_order(self.own, node);
         let service = &mut self.services[target.service];
-        service.ranking.remove(target.near, Ranked { order, slot });
-        service.active.retain(|active| *active != slot);
+        service.ranking.remove(target.near, Ranked { order, target_index });
+        service.active.retain(|active| *active != target_index);
         Some(target)
     }
 
-    /// Chooses again which targets of a service are used.
-    fn choose_active(&mut self, place: usize) {
-        let service = &mut self.services[place];
+    /// Recomputes which targets of a service are used.
+    fn choose_active(&mut self, service_index: usize) {
+        let service = &mut self.services[service_index];
         let targets = &self.targets;
-        let usable = |slot: usize| targets[slot].as_ref().is_some_and(Target::usable);
-        service.ranking.choose(self.active_max, usable, &mut service.active);
+        let is_usable =
+            |target_index: usize| targets[target_index].as_ref().is_some_and(Target::is_usable);
+        service.ranking.choose(self.active_max, is_usable, &mut service.active);
     }
 }
 
-/// What is kept for each arm, in the order of the new arms.
-fn rearrange<T: Clone + Default>(old: &[T], places: &[Option<usize>]) -> Vec<T> {
-    let mut new = Vec::with_capacity(places.len());
-    for place in places {
-        new.push(place.and_then(|place| old.get(place)).cloned().unwrap_or_default());
+/// Reorders per-arm state to the order of the new arms.
+fn remap<T: Clone + Default>(old: &[T], positions: &[Option<usize>]) -> Vec<T> {
+    let mut new = Vec::with_capacity(positions.len());
+    for position in positions {
+        new.push(position.and_then(|position| old.get(position)).cloned().unwrap_or_default());
     }
     new
 }
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -1,4 +1,4 @@
-//! One target as the router keeps it.
+//! The router's state of one target.
 
 use std::net::SocketAddr;
 
@@ -20,41 +20,41 @@
 /// One target.
 #[derive(Clone, Debug)]
 pub(super) struct Target {
-    /// The node beside the target.
+    /// The target's node.
     pub node: NodeId,
-    /// The place of its service in the router.
+    /// The index of its service in the router.
     pub service: usize,
-    /// Whether it stands in this node's failure domain.
+    /// Whether it is in this node's failure domain.
     pub near: bool,
-    /// Where its node listens.
+    /// The address at which its node listens.
     pub address: SocketAddr,
-    /// How many calls it runs at once.
+    /// How many calls it can run at the same time.
     pub slots: u32,
-    /// Whether it takes no new work for good.
+    /// Whether it is draining: it accepts no new calls, permanently.
     pub leaving: bool,
     /// When it was first seen.
     pub first_seen_us: u64,
     /// The connection to its node.
     pub link: Link,
-    /// What each arm has seen of it; empty until something was sent to it.
+    /// The statistics of each arm; empty until an attempt was sent to it.
     pub records: Vec<ArmRecord>,
 }
 
 impl Target {
     /// Whether calls may be sent to it at all.
-    pub fn usable(&self) -> bool {
+    pub fn is_usable(&self) -> bool {
         !self.leaving && self.link == Link::Up
     }
 
-    /// Keeps what was known about the same target before the membership told it anew.
-    pub fn keep(&mut self, known: Target) {
+    /// Keeps the state of the same target from before its membership entry was updated.
+    pub fn inherit(&mut self, known: Target) {
         self.leaving |= known.leaving;
         self.first_seen_us = self.first_seen_us.min(known.first_seen_us);
         self.link = known.link;
         self.records = known.records;
     }
 
-    /// The record of the arm at `arm`, made where there is none yet.
+    /// The record of the arm at index `arm`, added if there is none.
     pub fn record_mut(&mut self, arm: usize, arms: usize) -> &mut ArmRecord {
         if self.records.len() < arms {
             self.records.resize_with(arms, ArmRecord::default);
@@ -62,7 +62,7 @@
         &mut self.records[arm]
     }
 
-    /// The record of the arm at `arm`, if there is one.
+    /// The record of the arm at index `arm`, if there is one.
     pub fn record(&self, arm: usize) -> Option<&ArmRecord> {
         self.records.get(arm)
     }
--- a/src/routing/view.rs
+++ b/src/routing/view.rs
@@ -1,4 +1,4 @@
-//! What operators see of the router.
+//! The state of the router as operators see it.
 
 use serde::Serialize;
 
@@ -20,25 +20,25 @@
 /// One target as this sender sees it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PeerView {
-    /// The node beside the target.
+    /// The target's node.
     pub node: NodeId,
     /// Its service.
     pub service: String,
-    /// Where the node listens.
+    /// The address at which the node listens.
     pub address: std::net::SocketAddr,
-    /// Whether it stands in the own failure domain.
+    /// Whether it is in the own failure domain.
     pub near: bool,
-    /// Whether this sender uses it at present.
+    /// Whether this sender currently uses it.
     pub active: bool,
-    /// Whether it takes no new work for good.
+    /// Whether it is draining: it accepts no new calls, permanently.
     pub leaving: bool,
     /// The connection.
     pub link: LinkState,
-    /// What each arm has seen of it.
+    /// The statistics of each arm.
     pub arms: Vec<ArmView>,
 }
 
-/// What one arm has seen of a target.
+/// The statistics of one target in one arm.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ArmView {
     /// The arm.
@@ -47,12 +47,12 @@
     pub outstanding: u32,
     /// The smoothed latency, in microseconds.
     pub latency_us: u64,
-    /// The smoothed share of attempts that failed, from 0 to 1.
+    /// The smoothed error rate of attempts, from 0 to 1.
     pub errors: f32,
-    /// Calls at the target as a share of what it can run.
+    /// Calls at the target as a share of its capacity.
     pub utilisation: f64,
-    /// Whether it gets only probes.
+    /// Whether it is ejected and gets only probes.
     pub ejected: bool,
-    /// The highest floor that still counts.
+    /// The highest decayed floor of any class.
     pub floor: Level,
 }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which targets are picked, and which never are.
+//! Tests which targets may be picked, and when floors and ejections exclude them.
 
 use aspenspring::call::{ArmId, ClassRank, Level, LoadReport, NodeId, RefusalReason};
 use aspenspring::config::Rules;
@@ -42,7 +42,7 @@
     router
 }
 
-fn ask<'a>(avoid: &'a [NodeId]) -> Pick<'a> {
+fn request<'a>(avoid: &'a [NodeId]) -> Pick<'a> {
     Pick { service: SERVICE, arm: ARM, class: CLASS, level: Level(0x0180), avoid }
 }
 
@@ -65,27 +65,27 @@
     router.link_lost(1, NodeId(2));
     let avoid = [NodeId(3)];
     for _ in 0..100 {
-        assert_eq!(router.pick(2, &ask(&avoid), &mut rng), Ok(NodeId(4)));
+        assert_eq!(router.pick(2, &request(&avoid), &mut rng), Ok(NodeId(4)));
     }
     router.remove(3, NodeId(4));
-    let refusal = router.pick(3, &ask(&avoid), &mut rng).expect_err("no target is left");
+    let refusal = router.pick(3, &request(&avoid), &mut rng).expect_err("no target is left");
     assert_eq!(refusal.reason, RefusalReason::NoTarget);
     router.link_up(4, NodeId(2));
-    assert_eq!(router.pick(4, &ask(&avoid), &mut rng), Ok(NodeId(2)));
+    assert_eq!(router.pick(4, &request(&avoid), &mut rng), Ok(NodeId(2)));
 }
 
 #[test]
-fn a_call_below_every_floor_is_shed_until_the_floors_have_faded() {
+fn a_call_below_every_floor_is_shed_until_the_floors_have_decayed() {
     let mut router = router(2);
     let mut rng = SmallRng::seed_from_u64(1);
     router.observed(0, NodeId(1), &shed_below(0x01c0));
-    assert_eq!(router.pick(0, &ask(&[]), &mut rng), Ok(NodeId(2)));
+    assert_eq!(router.pick(0, &request(&[]), &mut rng), Ok(NodeId(2)));
     router.observed(0, NodeId(2), &shed_below(0x01f0));
     assert_eq!(router.floor(0, SERVICE, ARM, CLASS), Level(0x01c0));
-    let refusal = router.pick(0, &ask(&[]), &mut rng).expect_err("below both floors");
+    let refusal = router.pick(0, &request(&[]), &mut rng).expect_err("below both floors");
     assert_eq!(refusal.reason, RefusalReason::Shed);
     assert!(refusal.retry_after_ms >= 200);
-    assert!(router.pick(1_000_000, &ask(&[]), &mut rng).is_ok());
+    assert!(router.pick(1_000_000, &request(&[]), &mut rng).is_ok());
 }
 
 fn answered(latency_us: u64) -> Observation {
@@ -93,7 +93,7 @@
     Observation { arm: ARM, class: CLASS, latency_us, outcome, load: None }
 }
 
-/// Settles ten attempts at node 1 as `lost` and says whether it was ejected.
+/// Settles ten attempts at node 1 as `lost` and returns whether it was ejected.
 fn is_ejected_after(lost: &Observation) -> bool {
     let mut router = router(4);
     let mut rng = SmallRng::seed_from_u64(1);
@@ -105,21 +105,21 @@
     }
     for round in 0..10 {
         let now_us = 100_000 * (round + 1);
-        router.pick(now_us, &ask(&[]), &mut rng).expect("a target is there");
+        router.pick(now_us, &request(&[]), &mut rng).expect("a target is available");
         router.sent(now_us, NodeId(1), ARM);
         router.observed(now_us + lost.latency_us, NodeId(1), lost);
     }
-    router.pick(1_100_000, &ask(&[]), &mut rng).expect("a target is there");
+    router.pick(1_100_000, &request(&[]), &mut rng).expect("a target is available");
     router.view(1_100_000)[0].arms[0].ejected
 }
 
 #[test]
-fn calls_given_up_early_are_not_held_against_their_target() {
-    let given_up = Observation { outcome: Outcome::Lost, ..answered(2_000) };
-    assert!(!is_ejected_after(&given_up), "ejected for what its callers did");
-    let waited_for = Observation { outcome: Outcome::Lost, ..answered(90_000) };
-    assert!(is_ejected_after(&waited_for), "never answers, but keeps its share");
+fn calls_cancelled_early_do_not_count_against_their_target() {
+    let cancelled = Observation { outcome: Outcome::Lost, ..answered(2_000) };
+    assert!(!is_ejected_after(&cancelled), "ejected because callers cancelled");
+    let timed_out = Observation { outcome: Outcome::Lost, ..answered(90_000) };
+    assert!(is_ejected_after(&timed_out), "never answers, but is not ejected");
     let load = Some(LoadReport { limit: 25, ..LoadReport::default() });
-    let broke = Observation { outcome: Outcome::Lost, load, ..answered(500) };
-    assert!(is_ejected_after(&broke), "breaks off at once, but keeps its share");
+    let broken_off = Observation { outcome: Outcome::Lost, load, ..answered(500) };
+    assert!(is_ejected_after(&broken_off), "breaks off at once, but is not ejected");
 }
--- a/tests/routing_floors.rs
+++ b/tests/routing_floors.rs
@@ -1,4 +1,5 @@
-//! How floors keep doomed calls away, and how they lose their force once the overload is over.
+//! Simulates senders that apply reported floors: few calls below the floor are sent, and all calls
+//! are sent again soon after the overload.
 
 use aspenspring::call::{ArmId, ClassRank, Level, LoadReport, NodeId, RefusalReason};
 use aspenspring::config::Rules;
@@ -35,11 +36,11 @@
     router
 }
 
-/// What became of the calls of one second.
+/// The outcomes of the calls of one second.
 #[derive(Debug, Default)]
-struct Second {
-    early: u32,
-    at_target: u32,
+struct SecondOutcome {
+    shed_by_sender: u32,
+    shed_at_target: u32,
     ran: u32,
 }
 
@@ -49,70 +50,72 @@
     start_us: u64,
     floor_of: impl Fn(NodeId) -> u16,
     rng: &mut SmallRng,
-) -> Second {
-    let mut second = Second::default();
+) -> SecondOutcome {
+    let mut second = SecondOutcome::default();
     for number in 0..1_000 {
         let now_us = start_us + number * 1_000;
         let level = Level(0x0100 + rng.random_range(0..0x100));
-        let ask = Pick { service: SERVICE, arm: ARM, class: CLASS, level, avoid: &[] };
-        let Ok(node) = router.pick(now_us, &ask, rng) else {
-            second.early += 1;
+        let request = Pick { service: SERVICE, arm: ARM, class: CLASS, level, avoid: &[] };
+        let Ok(node) = router.pick(now_us, &request, rng) else {
+            second.shed_by_sender += 1;
             continue;
         };
         router.sent(now_us, node, ARM);
         let floor = Level(floor_of(node));
         let outcome = if level < floor {
-            second.at_target += 1;
+            second.shed_at_target += 1;
             Outcome::Refused(RefusalReason::Shed)
         } else {
             second.ran += 1;
             Outcome::Answered { healthy: true }
         };
         let load = LoadReport { limit: 100, floor, ..LoadReport::default() };
-        let seen =
+        let observation =
             Observation { arm: ARM, class: CLASS, latency_us: 900, outcome, load: Some(load) };
-        router.observed(now_us + 900, node, &seen);
+        router.observed(now_us + 900, node, &observation);
     }
     second
 }
 
 #[test]
-fn few_doomed_calls_are_sent_and_all_come_back_within_a_second() {
+fn few_calls_below_the_floor_are_sent_and_all_return_within_a_second() {
     for floor in [0x0140, 0x01f0, 0x0200, 0x0300] {
         let mut router = router();
         let mut rng = SmallRng::seed_from_u64(2);
-        let mut doomed = 0;
+        let mut below_floor = 0;
         let mut sent = 0;
         for second in 0..20 {
-            let seen = send_second(&mut router, second * 1_000_000, |_| floor, &mut rng);
-            doomed += seen.at_target + seen.early;
-            sent += if second > 0 { seen.at_target } else { 0 };
+            let outcomes = send_second(&mut router, second * 1_000_000, |_| floor, &mut rng);
+            below_floor += outcomes.shed_at_target + outcomes.shed_by_sender;
+            sent += if second > 0 { outcomes.shed_at_target } else { 0 };
         }
-        let share = f64::from(sent) / f64::from(doomed);
+        let share = f64::from(sent) / f64::from(below_floor);
         let first = send_second(&mut router, 20_000_000, |_| 0, &mut rng);
         let second = send_second(&mut router, 21_000_000, |_| 0, &mut rng);
         println!(
-            "floor {floor:#06x}: {share:.4} of the doomed calls sent; after its end {} of 1000 \
+            "floor {floor:#06x}: {share:.4} of the calls below it sent; after its end {} of 1000 \
              refused in the first second, {} in the next",
-            first.early, second.early
+            first.shed_by_sender, second.shed_by_sender
         );
         assert!(share < 0.03);
-        assert!(first.early < 700);
-        assert_eq!(second.early, 0);
+        assert!(first.shed_by_sender < 700);
+        assert_eq!(second.shed_by_sender, 0);
     }
 }
 
 #[test]
-fn one_hot_target_closes_nothing_but_itself() {
+fn one_overloaded_target_does_not_close_the_others() {
     let mut router = router();
     let mut rng = SmallRng::seed_from_u64(2);
     let floor_of = |node: NodeId| if node.0 == 1 { 0x0200 } else { 0 };
-    let mut at_target = 0;
+    let mut shed_at_target = 0;
     for second in 0..10 {
-        let seen = send_second(&mut router, second * 1_000_000, floor_of, &mut rng);
-        assert_eq!(seen.early, 0);
-        at_target += seen.at_target;
+        let outcomes = send_second(&mut router, second * 1_000_000, floor_of, &mut rng);
+        assert_eq!(outcomes.shed_by_sender, 0);
+        shed_at_target += outcomes.shed_at_target;
     }
-    println!("one hot target of {TARGETS}: {at_target} of 10000 calls were refused there");
-    assert!(at_target < 200);
+    println!(
+        "one overloaded target of {TARGETS}: {shed_at_target} of 10000 calls were refused there"
+    );
+    assert!(shed_at_target < 200);
 }
--- a/tests/routing_load.rs
+++ b/tests/routing_load.rs
@@ -1,4 +1,5 @@
-//! Shares of stragglers, failing, cold and distant targets, with a fake service that answers late.
+//! Simulates the load distribution over slow, failing, new and distant targets, with fake targets
+//! that answer after a delay.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -15,7 +16,7 @@
 const SLOTS: u32 = 25;
 const LATENCY_US: u64 = 10_000;
 /// The round trip between two failure domains.
-const DISTANCE_US: u64 = 3_000;
+const INTER_DOMAIN_LATENCY_US: u64 = 3_000;
 
 fn rules(choice: &str) -> Rules {
     serde_json::from_value(serde_json::json!({
@@ -29,7 +30,7 @@
     .expect("the rules are well formed")
 }
 
-/// A target whose calls slow each other down once its slots are taken.
+/// A target whose calls slow each other down once its slots are in use.
 #[derive(Clone)]
 struct FakeTarget {
     domain: usize,
@@ -39,7 +40,7 @@
     picked: u32,
 }
 
-/// A call on its way, in the order of settling.
+/// An outstanding call, ordered by the time at which it is settled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Pending {
     settle_us: u64,
@@ -49,16 +50,16 @@
     healthy: bool,
 }
 
-/// Senders and targets of one service; node ids of targets count from 1.
+/// Senders and targets of one service; node IDs of targets start at 1.
 struct Site {
     now_us: u64,
     senders: Vec<(usize, Router)>,
     targets: Vec<FakeTarget>,
     pending: BinaryHeap<Reverse<Pending>>,
     rng: SmallRng,
-    /// Calls that found all slots of their target taken.
-    crowded: u32,
-    /// The most calls a target ran at once.
+    /// Calls that found all slots of their target in use.
+    found_full: u32,
+    /// The highest number of calls that a target ran at the same time.
     peak_running: u32,
 }
 
@@ -75,7 +76,7 @@
             targets: Vec::new(),
             pending: BinaryHeap::new(),
             rng: SmallRng::seed_from_u64(4),
-            crowded: 0,
+            found_full: 0,
             peak_running: 0,
         };
         for domain in target_domains {
@@ -102,13 +103,13 @@
         self.targets.push(FakeTarget { domain, latency_us, failing: false, running: 0, picked: 0 });
     }
 
-    /// Sends `calls` calls, one every `gap_us`, from senders drawn at random, and returns how many
-    /// each target got.
+    /// Sends `calls` calls, one every `gap_us`, from random senders, and returns how many each
+    /// target got.
     fn send(&mut self, calls: u32, gap_us: u64) -> Vec<u32> {
         for target in &mut self.targets {
             target.picked = 0;
         }
-        self.crowded = 0;
+        self.found_full = 0;
         self.peak_running = 0;
         for _ in 0..calls {
             self.now_us += gap_us;
@@ -121,21 +122,22 @@
     fn send_one(&mut self) {
         let sender = self.rng.random_range(0..self.senders.len());
         let (domain, router) = &mut self.senders[sender];
-        let ask =
+        let request =
             Pick { service: SERVICE, arm: ARM, class: CLASS, level: Level(0x0180), avoid: &[] };
-        let node = router.pick(self.now_us, &ask, &mut self.rng).expect("a target is there");
+        let node =
+            router.pick(self.now_us, &request, &mut self.rng).expect("a target is available");
         router.sent(self.now_us, node, ARM);
         let number = node.0 as usize - 1;
         let target = &mut self.targets[number];
         target.running += 1;
         target.picked += 1;
         self.peak_running = self.peak_running.max(target.running);
-        self.crowded += u32::from(target.running > SLOTS);
-        let crowding = (f64::from(target.running) / f64::from(SLOTS)).max(1.0);
-        let run_us = target.latency_us as f64 * crowding * self.rng.random_range(0.5..1.5);
-        let distance_us = if *domain == target.domain { 100 } else { DISTANCE_US };
+        self.found_full += u32::from(target.running > SLOTS);
+        let slowdown = (f64::from(target.running) / f64::from(SLOTS)).max(1.0);
+        let run_us = target.latency_us as f64 * slowdown * self.rng.random_range(0.5..1.5);
+        let network_us = if *domain == target.domain { 100 } else { INTER_DOMAIN_LATENCY_US };
         let took_us = if target.failing { 500 } else { run_us as u64 };
-        let settle_us = self.now_us + took_us + distance_us;
+        let settle_us = self.now_us + took_us + network_us;
         self.pending.push(Reverse(Pending {
             settle_us,
             sender,
@@ -159,7 +161,7 @@
                 latency_us: target.latency_us as u32,
                 ..LoadReport::default()
             };
-            let seen = Observation {
+            let observation = Observation {
                 arm: ARM,
                 class: CLASS,
                 latency_us: call.settle_us - call.sent_us,
@@ -167,7 +169,7 @@
                 load: Some(load),
             };
             let node = NodeId(call.target as u64 + 1);
-            self.senders[call.sender].1.observed(call.settle_us, node, &seen);
+            self.senders[call.sender].1.observed(call.settle_us, node, &observation);
         }
     }
 }
@@ -178,16 +180,16 @@
     f64::from(picked[number]) * picked.len() as f64 / f64::from(total)
 }
 
-fn loses_and_regains(fault: impl Fn(&mut FakeTarget), targets: usize, gap_us: u64) {
+fn check_share_around_fault(fault: impl Fn(&mut FakeTarget), targets: usize, gap_us: u64) {
     let mut site = Site::new("least_loaded", &[0], &vec![0; targets]);
     let before = site.send(2_000, gap_us);
-    assert!(share(&before, 0) > 0.6, "uneven while all are well: {before:?}");
-    let well = site.targets[0].clone();
+    assert!(share(&before, 0) > 0.6, "uneven while all are healthy: {before:?}");
+    let healthy = site.targets[0].clone();
     fault(&mut site.targets[0]);
-    let losing = site.send(200, gap_us);
-    let lost = site.send(200, gap_us);
-    assert!(share(&lost, 0) < 0.2, "kept its share: {lost:?}");
-    let (latency_us, failing) = (well.latency_us, well.failing);
+    let just_after_fault = site.send(200, gap_us);
+    let later_in_fault = site.send(200, gap_us);
+    assert!(share(&later_in_fault, 0) < 0.2, "kept its share: {later_in_fault:?}");
+    let (latency_us, failing) = (healthy.latency_us, healthy.failing);
     site.targets[0].latency_us = latency_us;
     site.targets[0].failing = failing;
     site.send((3_000_000 / gap_us) as u32, gap_us);
@@ -196,8 +198,8 @@
         "targets {targets} gap {gap_us} us: share before {:.2}, first 200 calls {:.2}, next 200 \
          {:.2}, 3 s after the end {:.2}",
         share(&before, 0),
-        share(&losing, 0),
-        share(&lost, 0),
+        share(&just_after_fault, 0),
+        share(&later_in_fault, 0),
         share(&after, 0)
     );
     assert!(share(&after, 0) > 0.6, "did not regain its share: {after:?}");
@@ -206,14 +208,14 @@
 #[test]
 fn a_straggler_loses_its_share_and_gets_it_back() {
     for (targets, gap_us) in [(2, 1_000), (3, 1_000), (4, 500), (4, 5_000), (12, 200)] {
-        loses_and_regains(|target| target.latency_us *= 10, targets, gap_us);
+        check_share_around_fault(|target| target.latency_us *= 10, targets, gap_us);
     }
 }
 
 #[test]
 fn a_target_that_fails_fast_loses_its_share_and_gets_it_back() {
     for (targets, gap_us) in [(2, 1_000), (3, 1_000), (4, 500), (4, 5_000), (12, 200)] {
-        loses_and_regains(|target| target.failing = true, targets, gap_us);
+        check_share_around_fault(|target| target.failing = true, targets, gap_us);
     }
 }
 
@@ -233,8 +235,8 @@
 }
 
 /// Runs `site` at a share of the capacity of its targets and returns the share of the calls that
-/// the targets of domain 0 got, and the share of calls that found all slots of their target taken.
-fn run_at(site: &mut Site, what: &str, load: f64) -> (f64, f64) {
+/// the targets of domain 0 got, and the share of calls that found all slots of their target in use.
+fn run_at(site: &mut Site, label: &str, load: f64) -> (f64, f64) {
     let calls = 50_000;
     let mut per_us = 0.0;
     for target in &site.targets {
@@ -248,41 +250,44 @@
         near += if target.domain == 0 { *count } else { 0 };
     }
     let near = f64::from(near) / f64::from(calls);
-    let crowded = f64::from(site.crowded) / f64::from(calls);
+    let found_full = f64::from(site.found_full) / f64::from(calls);
     let peak = f64::from(site.peak_running) / f64::from(SLOTS);
-    println!("{what} at {load}: domain 0 got {near:.2}, crowded {crowded:.5}, peak {peak:.2}");
-    (near, crowded)
+    println!(
+        "{label} at {load}: domain 0 got {near:.2}, found full {found_full:.5}, peak {peak:.2}"
+    );
+    (near, found_full)
 }
 
 const DOMAINS: [usize; 8] = [0, 0, 1, 1, 2, 2, 3, 3];
 
 #[test]
 fn near_targets_come_first_but_do_not_run_hot() {
-    // The first domain has 7 of 10 senders, but a quarter of the targets.
+    // Domain 0 has 7 of 10 senders, but a quarter of the targets.
     let senders = [0, 0, 0, 0, 0, 0, 0, 1, 2, 3];
-    for (load, near_least, crowded_most) in [(0.1, 0.5, 0.0), (0.5, 0.25, 0.005), (0.7, 0.2, 0.06)]
+    for (load, near_min, found_full_max) in [(0.1, 0.5, 0.0), (0.5, 0.25, 0.005), (0.7, 0.2, 0.06)]
     {
-        let mut in_turn = Site::new("round_robin", &senders, &DOMAINS);
-        run_at(&mut in_turn, "round robin", load);
+        let mut round_robin = Site::new("round_robin", &senders, &DOMAINS);
+        run_at(&mut round_robin, "round robin", load);
         let mut site = Site::new("least_loaded", &senders, &DOMAINS);
-        let (near, crowded) = run_at(&mut site, "least loaded", load);
-        assert!(near >= near_least, "load {load}: {near}");
-        assert!(crowded <= crowded_most, "load {load}: {crowded}");
+        let (near, found_full) = run_at(&mut site, "least loaded", load);
+        assert!(near >= near_min, "load {load}: {near}");
+        assert!(found_full <= found_full_max, "load {load}: {found_full}");
     }
 }
 
 #[test]
 fn equal_targets_are_used_evenly_and_slower_ones_less() {
-    for (slow, load) in [(1, 0.3), (1, 0.6), (2, 0.3), (2, 0.6)] {
-        let mut crowded = Vec::new();
+    for (slowdown, load) in [(1, 0.3), (1, 0.6), (2, 0.3), (2, 0.6)] {
+        let mut found_full = Vec::new();
         for choice in ["round_robin", "least_loaded"] {
             let mut site = Site::new(choice, &[4; 10], &DOMAINS);
             for target in &mut site.targets[4..] {
-                target.latency_us *= slow;
+                target.latency_us *= slowdown;
             }
-            crowded.push(run_at(&mut site, &format!("half slower by {slow}, {choice}"), load).1);
+            found_full
+                .push(run_at(&mut site, &format!("half slower by {slowdown}, {choice}"), load).1);
         }
-        assert!(crowded[1] <= crowded[0] + 0.002, "worse than in turn: {crowded:?}");
+        assert!(found_full[1] <= found_full[0] + 0.002, "worse than in turn: {found_full:?}");
     }
 }
 
--- a/tests/routing_rules.rs
+++ b/tests/routing_rules.rs
@@ -1,4 +1,5 @@
-//! What holds for every pick after any events, with a plain model of the known targets.
+//! Property tests of the router: invariants of every pick after random events, checked against a
+//! simple model of the known targets.
 
 use std::collections::BTreeMap;
 
@@ -78,7 +79,7 @@
 }
 
 impl Model {
-    fn take(&mut self, event: &Event) -> Result<(), TestCaseError> {
+    fn apply(&mut self, event: &Event) -> Result<(), TestCaseError> {
         self.now_us += 1_000;
         match *event {
             Event::Put { node, near, leaving } => self.put(node, near, leaving),
@@ -127,26 +128,31 @@
     fn settle(&mut self, node: u64, outcome: Outcome, floor: u16, leaving: bool) {
         let load = LoadReport { floor: Level(floor), leaving, ..LoadReport::default() };
         let arm = ArmId(0);
-        let seen = Observation { arm, class: CLASS, latency_us: 1_000, outcome, load: Some(load) };
+        let observation =
+            Observation { arm, class: CLASS, latency_us: 1_000, outcome, load: Some(load) };
         self.router.sent(self.now_us, NodeId(node), arm);
-        self.router.observed(self.now_us, NodeId(node), &seen);
+        self.router.observed(self.now_us, NodeId(node), &observation);
         let refused = outcome == Outcome::Refused(RefusalReason::Leaving);
         self.change(node, |known| known.leaving |= leaving || refused);
     }
 
     fn pick(&mut self, avoid: u64, level: Level, arm: ArmId) -> Result<(), TestCaseError> {
         let avoid = [NodeId(avoid)];
-        let ask = Pick { service: SERVICE, arm, class: CLASS, level, avoid: &avoid };
-        let may = |node: u64, known: &Known| !known.leaving && !known.lost && node != avoid[0].0;
-        let usable = self.known.iter().filter(|(node, known)| may(**node, known)).count();
+        let request = Pick { service: SERVICE, arm, class: CLASS, level, avoid: &avoid };
+        let is_allowed =
+            |node: u64, known: &Known| !known.leaving && !known.lost && node != avoid[0].0;
+        let usable = self.known.iter().filter(|(node, known)| is_allowed(**node, known)).count();
         let floor = self.router.floor(self.now_us, SERVICE, arm, CLASS);
-        let open = self.router.may_pick(self.now_us, &ask);
-        match self.router.pick(self.now_us, &ask, &mut self.rng) {
+        let may_pick = self.router.may_pick(self.now_us, &request);
+        match self.router.pick(self.now_us, &request, &mut self.rng) {
             Ok(node) => {
                 let known = self.known.get(&node.0).copied().unwrap_or_default();
                 prop_assert!(self.known.contains_key(&node.0), "{node} is not known");
-                prop_assert!(may(node.0, &known), "{node} picked: {known:?}, avoid {avoid:?}");
-                prop_assert!(open);
+                prop_assert!(
+                    is_allowed(node.0, &known),
+                    "{node} picked: {known:?}, avoid {avoid:?}"
+                );
+                prop_assert!(may_pick);
             }
             Err(refusal) if refusal.reason == RefusalReason::NoTarget => {
                 prop_assert_eq!(usable, 0);
@@ -174,14 +180,14 @@
     })]
 
     #[test]
-    fn a_pick_is_always_usable_and_a_refusal_always_true(
+    fn a_picked_target_is_usable_and_a_refusal_is_justified(
         events in prop::collection::vec(events(), 1..200),
     ) {
         let router = Router::new(NodeId(99), "a", &rules());
         let rng = SmallRng::seed_from_u64(1);
         let mut model = Model { router, known: BTreeMap::new(), rng, now_us: 0 };
         for event in &events {
-            model.take(event)?;
+            model.apply(event)?;
         }
     }
 }
--- a/tests/routing_scale.rs
+++ b/tests/routing_scale.rs
@@ -1,4 +1,5 @@
-//! Evenness, churn, memory and time of the router at the size of two years from now.
+//! Measures the load distribution, churn, memory and time of the router with 150 services and 2,900
+//! nodes, the size expected in two years.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
@@ -16,14 +17,14 @@
 const DOMAINS: u64 = 6;
 
 /// Counts the bytes that each thread has allocated and not freed.
-struct Counting;
+struct CountingAllocator;
 
 thread_local! {
     static ALLOCATED_BYTES: Cell<i64> = const { Cell::new(0) };
 }
 
 fn count(bytes: i64) {
-    // The counter is gone while its thread ends; nothing is measured then.
+    // The counter is destroyed while its thread ends; nothing is measured then.
     let _ = ALLOCATED_BYTES.try_with(|allocated| allocated.set(allocated.get() + bytes));
 }
 
@@ -31,8 +32,8 @@
     ALLOCATED_BYTES.with(Cell::get)
 }
 
-// SAFETY: every call is handed on unchanged to the system's allocator.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is passed on unchanged to the system allocator.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         count(layout.size() as i64);
         unsafe { System.alloc(layout) }
@@ -45,7 +46,7 @@
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 fn rules() -> Rules {
     let arms: Vec<_> = (0..4)
@@ -63,7 +64,7 @@
     format!("service-{service:03}")
 }
 
-/// The nodes of each service: ten of 100 targets, forty of 25 and a hundred of 9.
+/// The nodes of each service: ten services of 100 targets, forty of 25 and a hundred of 9.
 fn site() -> Vec<Vec<NodeId>> {
     let mut rng = SmallRng::seed_from_u64(9);
     let mut services = Vec::with_capacity(SERVICES);
@@ -100,7 +101,7 @@
     router
 }
 
-/// The senders of `service`: all nodes of three services drawn at random.
+/// The senders of `service`: all nodes of three random services.
 fn senders(service: usize, site: &[Vec<NodeId>], rng: &mut SmallRng) -> Vec<(NodeId, u64)> {
     let mut senders = Vec::new();
     for _ in 0..3 {
@@ -118,7 +119,8 @@
     assert_eq!(site.iter().map(Vec::len).sum::<usize>() as u64, NODES);
     for active_max in [12, 24, 48] {
         let mut rng = SmallRng::seed_from_u64(5);
-        let (mut most, mut least, mut moved, mut used) = (0.0f64, f64::MAX, 0usize, 0usize);
+        let (mut ratio_max, mut ratio_min, mut moved, mut used) =
+            (0.0f64, f64::MAX, 0usize, 0usize);
         let mut excess = 0.0;
         for service in 0..10 {
             let mut load: HashMap<NodeId, f64> = HashMap::new();
@@ -138,30 +140,30 @@
             let mean = senders.len() as f64 / site[service].len() as f64;
             for node in &site[service] {
                 let ratio = load.get(node).copied().unwrap_or(0.0) / mean;
-                most = most.max(ratio);
-                least = least.min(ratio);
+                ratio_max = ratio_max.max(ratio);
+                ratio_min = ratio_min.min(ratio);
                 excess += (ratio - 1.0).powi(2) / 1_000.0;
             }
         }
         println!(
-            "at most {active_max} of 100 targets: load of a target {least:.2} to {most:.2} of the \
+            "at most {active_max} of 100 targets: load of a target {ratio_min:.2} to {ratio_max:.2} of the \
              mean, deviation {:.2}; a removal moved {moved} of {used} places",
             excess.sqrt()
         );
         assert!(moved * 100 <= used * 3 / 2);
-        assert!(active_max != 24 || most < 3.0);
+        assert!(active_max != 24 || ratio_max < 3.0);
     }
 }
 
 #[test]
-fn memory_and_time_depend_on_what_is_used() {
+fn memory_and_time_depend_on_the_targets_used() {
     let site = site();
     for calls in [vec![60, 61], vec![10, 11, 12, 13], vec![0, 1, 2, 3, 4], (0..SERVICES).collect()]
     {
         let before = allocated_bytes();
         let mut router = router_of(NodeId(1), 0, &calls, &site);
         let known = router.len() as i64;
-        let told = (allocated_bytes() - before) / known;
+        let bytes_per_target = (allocated_bytes() - before) / known;
         let mut rng = SmallRng::seed_from_u64(3);
         let picks = 200_000u64;
         let started = Instant::now();
@@ -172,11 +174,11 @@
         let per_call_ns = started.elapsed().as_nanos() as u64 / picks;
         let used = allocated_bytes() - before;
         println!(
-            "{} services, {known} targets: {told} bytes a target when told, {used} bytes in all after \
+            "{} services, {known} targets: {bytes_per_target} bytes per target when added, {used} bytes in all after \
              {picks} calls; pick, sent and observed take {per_call_ns} ns together",
             calls.len()
         );
-        assert!(told < 600);
+        assert!(bytes_per_target < 600);
         assert!(used < 8 << 20);
     }
 }
@@ -184,12 +186,12 @@
 fn send_one(router: &mut Router, now_us: u64, service: &str, rng: &mut SmallRng) {
     let arm = ArmId(rng.random_range(0..4));
     let class = ClassRank(rng.random_range(0..4));
-    let ask = Pick { service, arm, class, level: Level(0x0380), avoid: &[] };
-    let node = router.pick(now_us, &ask, rng).expect("a target is there");
+    let request = Pick { service, arm, class, level: Level(0x0380), avoid: &[] };
+    let node = router.pick(now_us, &request, rng).expect("a target is available");
     router.sent(now_us, node, arm);
     let load = LoadReport { running: 3, limit: 25, floor: Level(0x0010), ..LoadReport::default() };
     let outcome = Outcome::Answered { healthy: true };
     let latency_us = rng.random_range(5_000..15_000);
-    let seen = Observation { arm, class, latency_us, outcome, load: Some(load) };
-    router.observed(now_us + 5, node, &seen);
+    let observation = Observation { arm, class, latency_us, outcome, load: Some(load) };
+    router.observed(now_us + 5, node, &observation);
 }
