--- a/src/routing/observe.rs
+++ b/src/routing/observe.rs
@@ -25,12 +25,12 @@
     }
 
     /// Records how an attempt that was sent to `node` was settled.
-    pub fn observed(&mut self, now_us: u64, node: NodeId, seen: &Observation) {
-        let leaving = seen.load.is_some_and(|load: LoadReport| load.leaving);
-        if leaving || seen.outcome == Outcome::Refused(RefusalReason::Leaving) {
+    pub fn observed(&mut self, now_us: u64, node: NodeId, observation: &Observation) {
+        let leaving = observation.load.is_some_and(|load: LoadReport| load.leaving);
+        if leaving || observation.outcome == Outcome::Refused(RefusalReason::Leaving) {
             self.set_leaving(node);
         }
-        let Some(arm) = self.policies.position(seen.arm) else {
+        let Some(arm) = self.policies.position(observation.arm) else {
             return;
         };
         let arms = self.policies.len();
@@ -45,17 +45,17 @@
         let connected = target.link == Link::Up;
         let record = target.record_mut(arm, arms);
         record.settled(now_us);
-        let waited_us = seen.latency_us as f32;
-        if let Some(load) = &seen.load {
+        let waited_us = observation.latency_us as f32;
+        if let Some(load) = &observation.load {
             record.report(now_us, load);
-            record.floors.record(now_us, seen.class, load.floor);
-            state.floors.record(now_us, seen.class, load.floor);
+            record.floors.record(now_us, observation.class, load.floor);
+            state.floors.record(now_us, observation.class, load.floor);
         }
-        match seen.outcome {
+        match observation.outcome {
             Outcome::Answered { healthy: true } => {
-                record.add_latency(seen.latency_us);
+                record.add_latency(observation.latency_us);
                 record.add_error(0.0);
-                health::settle_probe(record, now_us, state.baseline, Some(seen.latency_us));
+                health::settle_probe(record, now_us, state.baseline, Some(observation.latency_us));
             }
             Outcome::Answered { healthy: false } => {
                 record.add_error(1.0);
@@ -65,9 +65,10 @@
             Outcome::Lost if !connected => {}
             // The caller cancelled, or the deadline passed, before an answer was due.
             Outcome::Lost
-                if seen.load.is_none() && health::is_near_baseline(waited_us, state.baseline) => {}
+                if observation.load.is_none()
+                    && health::is_near_baseline(waited_us, state.baseline) => {}
             Outcome::Lost => {
-                record.add_latency_at_least(seen.latency_us);
+                record.add_latency_at_least(observation.latency_us);
                 record.add_error(1.0);
                 health::settle_probe(record, now_us, state.baseline, None);
             }
--- a/tests/admission_load.rs
+++ b/tests/admission_load.rs
@@ -13,7 +13,7 @@
 const SECOND_US: u64 = 1_000_000;
 const BROWSE: ClassRank = ClassRank(1);
 const CONFIRM: ClassRank = ClassRank(3);
-/// Unoptimised builds run a smaller part of the same trials.
+/// Unoptimised builds run fewer seeds and sizes.
 const SEEDS: u64 = if cfg!(debug_assertions) { 1 } else { 5 };
 const SIZES: &[u32] = if cfg!(debug_assertions) { &[25] } else { &[25, 130] };
 const DELAY: &str = r#"{"kind": "delay", "tolerance": 2.0, "backoff": 0.9}"#;
@@ -291,8 +291,8 @@
             / self.arrived_between(from_s, to_s).filter(|call| call.is_good).count().max(1) as f64
     }
 
-    /// Seconds from `end_s` until, in every fifth of a second, at least 95 % of the calls are
-    /// answered.
+    /// Seconds from `end_s` until at least 95 % of the calls of every following fifth of a second
+    /// are answered.
     fn recovery_s(&self, end_s: f64, until_s: f64) -> f64 {
         let mut recovered_s = end_s;
         let mut at_s = end_s;
