--- a/src/admission/event.rs
+++ b/src/admission/event.rs
@@ -78,7 +78,7 @@
 
 /// The result of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cancelled {
+pub enum CancelResult {
     /// The attempt was queued; it is refused and never runs.
     WasQueued,
     /// The attempt is running and keeps its slot until `finish` is called.
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -18,7 +18,7 @@
 
 use self::arm::{Allotment, Arm, WINDOW_US};
 use self::downstream::Downstream;
-pub use self::event::{Cancelled, Candidate, Decision, End, TargetState};
+pub use self::event::{CancelResult, Candidate, Decision, End, TargetState};
 use crate::call::{ArmId, AttemptId, ClassRank, Level, LoadReport, Refusal, RefusalReason};
 use crate::clock::US_PER_MS;
 use crate::config::{PolicySettings, Rules, ServiceSettings};
@@ -214,9 +214,9 @@
         now_us: u64,
         attempt: AttemptId,
         out: &mut Vec<Decision>,
-    ) -> Cancelled {
+    ) -> CancelResult {
         if self.arms.iter().any(|arm| arm.is_running(attempt)) {
-            return Cancelled::IsRunning;
+            return CancelResult::IsRunning;
         }
         for arm in &mut self.arms {
             let Some(queued) = arm.remove_queued(attempt) else {
@@ -224,9 +224,9 @@
             };
             out.push(arm.refuse(&queued.call, RefusalReason::Cancelled));
             self.poll(now_us, out);
-            return Cancelled::WasQueued;
+            return CancelResult::WasQueued;
         }
-        Cancelled::Unknown
+        CancelResult::Unknown
     }
 
     /// Does the work that is due: refuses expired calls and starts those that can run.
--- a/src/node/intake.rs
+++ b/src/node/intake.rs
@@ -9,7 +9,7 @@
 use crate::clock::US_PER_MS;
 use crate::config::{ClassSettings, RetryRule};
 use crate::retry::AttemptHistory;
-use crate::routing::Pick;
+use crate::routing::PickRequest;
 use crate::telemetry::trace::is_sampled;
 
 use super::event::{CallEnd, Intake, NodeAction, Ticket};
@@ -83,7 +83,7 @@
     ) {
         let root = RootId(self.rng.random());
         let arm = self.rules.arm_for(root).id;
-        let ask = Pick {
+        let ask = PickRequest {
             service,
             arm: ArmId(arm),
             class: Level::HIGHEST.class(),
--- a/src/node/platform.rs
+++ b/src/node/platform.rs
@@ -10,7 +10,7 @@
     StoreRequest,
 };
 use crate::membership::{Member, MemberRow, MembershipEvent};
-use crate::routing::Pick;
+use crate::routing::PickRequest;
 
 use super::Node;
 use super::event::NodeAction;
@@ -137,7 +137,7 @@
     pub(super) fn claim(&mut self, now_us: u64, id: HopId, text: &str, out: &mut Vec<NodeAction>) {
         let Some(hop) = self.hops.get(&id) else { return };
         let key = claim_row_key(&hop.service, text);
-        let ask = Pick {
+        let ask = PickRequest {
             service: &hop.service,
             arm: hop.arm,
             class: hop.class,
--- a/src/node/receiving.rs
+++ b/src/node/receiving.rs
@@ -1,6 +1,6 @@
 //! The receiving side: attempts from other nodes and what the target makes of them.
 
-use crate::admission::{Cancelled, Candidate, End, TargetState};
+use crate::admission::{CancelResult, Candidate, End, TargetState};
 use crate::call::{
     AttemptId, CallFrame, Doubt, LoadReport, Message, Refusal, RefusalReason, TraceContext, Verdict,
 };
@@ -284,13 +284,13 @@
         let keyed = inbound.frame.key.is_some();
         let mut decisions = Vec::new();
         match self.admission.cancel(now_us, attempt, &mut decisions) {
-            Cancelled::WasQueued => self.apply_decisions(now_us, decisions, out),
+            CancelResult::WasQueued => self.apply_decisions(now_us, decisions, out),
             // What must run at most once is left to finish, so that its outcome is known.
-            Cancelled::IsRunning if keyed => {}
-            Cancelled::IsRunning => {
+            CancelResult::IsRunning if keyed => {}
+            CancelResult::IsRunning => {
                 self.abort_running(now_us, attempt, Doubt::Cancelled, out);
             }
-            Cancelled::Unknown => {}
+            CancelResult::Unknown => {}
         }
     }
 
--- a/src/node/sending.rs
+++ b/src/node/sending.rs
@@ -6,7 +6,7 @@
 };
 use crate::clock::US_PER_S;
 use crate::event::LogEvent;
-use crate::routing::{Observation, Outcome, Pick};
+use crate::routing::{Observation, Outcome, PickRequest};
 use crate::telemetry::metrics::CallSource;
 
 use super::event::{CallEnd, NodeAction, Ticket};
@@ -104,7 +104,7 @@
             return if known { Ok((key.owner, Some(key))) } else { Err(gone) };
         }
         let own = hop.key == HopKey::Own;
-        let ask = Pick {
+        let ask = PickRequest {
             service: &hop.service,
             arm: hop.arm,
             class: hop.class,
@@ -115,7 +115,7 @@
         // Where every target was tried, one that was is better than none.
         let node = match picked {
             Err(refusal) if refusal.reason == RefusalReason::NoTarget => {
-                self.router.pick(now_us, &Pick { avoid: &[], ..ask }, &mut self.rng)
+                self.router.pick(now_us, &PickRequest { avoid: &[], ..ask }, &mut self.rng)
             }
             picked => picked,
         };
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -16,6 +16,6 @@
 mod target;
 mod view;
 
-pub use router::{Observation, Outcome, Peer, Pick, Router};
+pub use router::{Observation, Outcome, Peer, PickRequest, Router};
 pub use subset::{ACTIVE_TARGETS, rendezvous_order};
 pub use view::{ArmView, LinkState, PeerView};
--- a/src/routing/pick.rs
+++ b/src/routing/pick.rs
@@ -6,7 +6,7 @@
 use super::cost::{Cost, CostInput};
 use super::floor::{FloorReports, TargetFloors};
 use super::health::Ejection;
-use super::router::{Pick, Router, Service};
+use super::router::{PickRequest, Router, Service};
 use super::target::Target;
 use crate::call::{ArmId, ClassRank, Level, NodeId, Refusal, RefusalReason};
 use crate::clock::US_PER_MS;
@@ -37,7 +37,7 @@
     pub fn pick<R: Rng>(
         &mut self,
         now_us: u64,
-        request: &Pick<'_>,
+        request: &PickRequest<'_>,
         rng: &mut R,
     ) -> Result<NodeId, Refusal> {
         let Some(&service_index) = self.service_indexes.get(request.service) else {
@@ -87,7 +87,7 @@
     }
 
     /// Whether a known target would accept the attempt now.
-    pub fn may_pick(&self, now_us: u64, request: &Pick<'_>) -> bool {
+    pub fn may_pick(&self, now_us: u64, request: &PickRequest<'_>) -> bool {
         let Some(&service_index) = self.service_indexes.get(request.service) else {
             return false;
         };
@@ -135,7 +135,7 @@
         service_index: usize,
         arm: usize,
         policy: &ArmPolicy,
-        request: &Pick<'_>,
+        request: &PickRequest<'_>,
     ) -> Result<usize, Option<u64>> {
         let service = &mut self.services[service_index];
         let count = service.active.len();
@@ -167,7 +167,7 @@
         service_index: usize,
         arm: usize,
         policy: &ArmPolicy,
-        request: &Pick<'_>,
+        request: &PickRequest<'_>,
         rng: &mut R,
     ) -> Result<usize, Option<u64>> {
         let mut candidates = std::mem::take(&mut self.candidates);
@@ -202,7 +202,7 @@
         service_index: usize,
         arm: usize,
         policy: &ArmPolicy,
-        request: &Pick<'_>,
+        request: &PickRequest<'_>,
         candidates: &mut Vec<usize>,
     ) -> Scan {
         candidates.clear();
@@ -243,7 +243,7 @@
 
     /// Whether the call may probe an ejected target: first attempts only, and preferably calls that
     /// may be retried.
-    fn may_probe(&self, now_us: u64, ejection: &Ejection, request: &Pick<'_>) -> bool {
+    fn may_probe(&self, now_us: u64, ejection: &Ejection, request: &PickRequest<'_>) -> bool {
         if now_us < ejection.next_probe_us || !request.avoid.is_empty() {
             return false;
         }
@@ -335,7 +335,7 @@
     floors: Option<TargetFloors<'_>>,
     now_us: u64,
     policy: &ArmPolicy,
-    request: &Pick<'_>,
+    request: &PickRequest<'_>,
 ) -> u64 {
     match floors {
         Some(floors) if policy.refuse_early => floors.wait_us(now_us, request.class, request.level),
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -33,7 +33,7 @@
 
 /// An attempt that needs a target.
 #[derive(Clone, Copy, Debug)]
-pub struct Pick<'a> {
+pub struct PickRequest<'a> {
     /// The service that is called.
     pub service: &'a str,
     /// The arm of the root.
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,6 +1,6 @@
 //! Tests the single rules of admission control through its public interface.
 
-use aspenspring::admission::{Admission, Cancelled, Candidate, Decision, End, TargetState};
+use aspenspring::admission::{Admission, CancelResult, Candidate, Decision, End, TargetState};
 use aspenspring::call::{ArmId, AttemptId, ClassRank, Level, NodeId, RefusalReason};
 use aspenspring::config::Rules;
 
@@ -94,10 +94,10 @@
         admission.offer(0, call(sequence, 1, FAR_DEADLINE_US), &mut out);
     }
     out.clear();
-    assert_eq!(admission.cancel(0, attempt(2), &mut out), Cancelled::WasQueued);
+    assert_eq!(admission.cancel(0, attempt(2), &mut out), CancelResult::WasQueued);
     assert_eq!(refused(&out), [(2, RefusalReason::Cancelled)]);
-    assert_eq!(admission.cancel(0, attempt(2), &mut out), Cancelled::Unknown);
-    assert_eq!(admission.cancel(0, attempt(1), &mut out), Cancelled::IsRunning);
+    assert_eq!(admission.cancel(0, attempt(2), &mut out), CancelResult::Unknown);
+    assert_eq!(admission.cancel(0, attempt(1), &mut out), CancelResult::IsRunning);
     assert_eq!(admission.load(0, ArmId(0), ClassRank(0)).running, 1);
     admission.finish(0, attempt(1), End::Cancelled, &mut out);
     assert_eq!(admission.load(0, ArmId(0), ClassRank(0)).running, 0);
--- a/tests/admission_properties.rs
+++ b/tests/admission_properties.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use aspenspring::admission::{Admission, Cancelled, Candidate, Decision, End, TargetState};
+use aspenspring::admission::{Admission, CancelResult, Candidate, Decision, End, TargetState};
 use aspenspring::call::{ArmId, AttemptId, ClassRank, Level, NodeId, RefusalReason};
 use aspenspring::config::Rules;
 use proptest::prelude::*;
@@ -184,9 +184,9 @@
         let found = self.admission.cancel(self.now_us, attempt, &mut out);
         let expected = match (self.waiting.contains(&attempt), self.running.contains_key(&attempt))
         {
-            (true, _) => Cancelled::WasQueued,
-            (_, true) => Cancelled::IsRunning,
-            _ => Cancelled::Unknown,
+            (true, _) => CancelResult::WasQueued,
+            (_, true) => CancelResult::IsRunning,
+            _ => CancelResult::Unknown,
         };
         assert_eq!(found, expected);
         self.check_decisions(&out, None);
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -2,7 +2,7 @@
 
 use aspenspring::call::{ArmId, ClassRank, Level, LoadReport, NodeId, RefusalReason};
 use aspenspring::config::Rules;
-use aspenspring::routing::{Observation, Outcome, Peer, Pick, Router};
+use aspenspring::routing::{Observation, Outcome, Peer, PickRequest, Router};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -42,8 +42,8 @@
     router
 }
 
-fn request<'a>(avoid: &'a [NodeId]) -> Pick<'a> {
-    Pick { service: SERVICE, arm: ARM, class: CLASS, level: Level(0x0180), avoid }
+fn request<'a>(avoid: &'a [NodeId]) -> PickRequest<'a> {
+    PickRequest { service: SERVICE, arm: ARM, class: CLASS, level: Level(0x0180), avoid }
 }
 
 fn shed_below(floor: u16) -> Observation {
--- a/tests/routing_floors.rs
+++ b/tests/routing_floors.rs
@@ -3,7 +3,7 @@
 
 use aspenspring::call::{ArmId, ClassRank, Level, LoadReport, NodeId, RefusalReason};
 use aspenspring::config::Rules;
-use aspenspring::routing::{Observation, Outcome, Peer, Pick, Router};
+use aspenspring::routing::{Observation, Outcome, Peer, PickRequest, Router};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -55,7 +55,7 @@
     for number in 0..1_000 {
         let now_us = start_us + number * 1_000;
         let level = Level(0x0100 + rng.random_range(0..0x100));
-        let request = Pick { service: SERVICE, arm: ARM, class: CLASS, level, avoid: &[] };
+        let request = PickRequest { service: SERVICE, arm: ARM, class: CLASS, level, avoid: &[] };
         let Ok(node) = router.pick(now_us, &request, rng) else {
             second.shed_by_sender += 1;
             continue;
--- a/tests/routing_load.rs
+++ b/tests/routing_load.rs
@@ -6,7 +6,7 @@
 
 use aspenspring::call::{ArmId, ClassRank, Level, LoadReport, NodeId};
 use aspenspring::config::Rules;
-use aspenspring::routing::{Observation, Outcome, Peer, Pick, Router};
+use aspenspring::routing::{Observation, Outcome, Peer, PickRequest, Router};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -122,8 +122,13 @@
     fn send_one(&mut self) {
         let sender = self.rng.random_range(0..self.senders.len());
         let (domain, router) = &mut self.senders[sender];
-        let request =
-            Pick { service: SERVICE, arm: ARM, class: CLASS, level: Level(0x0180), avoid: &[] };
+        let request = PickRequest {
+            service: SERVICE,
+            arm: ARM,
+            class: CLASS,
+            level: Level(0x0180),
+            avoid: &[],
+        };
         let node =
             router.pick(self.now_us, &request, &mut self.rng).expect("a target is available");
         router.sent(self.now_us, node, ARM);
--- a/tests/routing_rules.rs
+++ b/tests/routing_rules.rs
@@ -5,7 +5,7 @@
 
 use aspenspring::call::{ArmId, ClassRank, Level, LoadReport, NodeId, RefusalReason};
 use aspenspring::config::Rules;
-use aspenspring::routing::{Observation, Outcome, Peer, Pick, Router};
+use aspenspring::routing::{Observation, Outcome, Peer, PickRequest, Router};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::SeedableRng;
@@ -138,7 +138,7 @@
 
     fn pick(&mut self, avoid: u64, level: Level, arm: ArmId) -> Result<(), TestCaseError> {
         let avoid = [NodeId(avoid)];
-        let request = Pick { service: SERVICE, arm, class: CLASS, level, avoid: &avoid };
+        let request = PickRequest { service: SERVICE, arm, class: CLASS, level, avoid: &avoid };
         let is_allowed =
             |node: u64, known: &Known| !known.leaving && !known.lost && node != avoid[0].0;
         let usable = self.known.iter().filter(|(node, known)| is_allowed(**node, known)).count();
--- a/tests/routing_scale.rs
+++ b/tests/routing_scale.rs
@@ -8,7 +8,7 @@
 
 use aspenspring::call::{ArmId, ClassRank, Level, LoadReport, NodeId};
 use aspenspring::config::Rules;
-use aspenspring::routing::{Observation, Outcome, Peer, Pick, Router};
+use aspenspring::routing::{Observation, Outcome, Peer, PickRequest, Router};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -186,7 +186,7 @@
 fn send_one(router: &mut Router, now_us: u64, service: &str, rng: &mut SmallRng) {
     let arm = ArmId(rng.random_range(0..4));
     let class = ClassRank(rng.random_range(0..4));
-    let request = Pick { service, arm, class, level: Level(0x0380), avoid: &[] };
+    let request = PickRequest { service, arm, class, level: Level(0x0380), avoid: &[] };
     let node = router.pick(now_us, &request, rng).expect("a target is available");
     router.sent(now_us, node, arm);
     let load = LoadReport { running: 3, limit: 25, floor: Level(0x0010), ..LoadReport::default() };
