--- a/src/retry/allowance.rs
+++ b/src/retry/allowance.rs
@@ -1,69 +1,70 @@
-//! The extra attempts each root may still cause, counted at its entry node.
+//! Per-root limits on extra attempts, kept at the root's entry node.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::call::RootId;
 
-/// What one root may still cause.
+/// The extra attempts one root has left.
 #[derive(Clone, Copy, Debug)]
 struct Allowance {
     /// Extra attempts left.
-    left: u8,
-    /// When the root's deadline passes.
+    remaining: u8,
+    /// The root's deadline.
     deadline_us: u64,
 }
 
 /// The retry allowances of all roots that entered at this node.
 ///
-/// There is one counter for a root over its whole call tree. Nothing is lent with calls, so a lost
-/// answer loses no allowance and cannot add any: the extra attempts of a root never exceed what it
-/// was opened with.
+/// Each root has one counter for its whole call tree. Calls carry no part of it, so a lost answer
+/// neither consumes nor adds allowance, and the extra attempts of a root never exceed the allowance
+/// it was opened with.
 #[derive(Debug, Default)]
 pub struct RootAllowances {
-    /// The open roots.
+    /// The open roots by id.
     roots: HashMap<RootId, Allowance>,
-    /// The open roots in the order of their deadlines.
+    /// The open roots ordered by deadline.
     deadlines: BTreeSet<(u64, RootId)>,
 }
 
 impl RootAllowances {
-    /// No open root.
+    /// Creates a set with no open roots.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Begins the allowance of `root`; a root that is open already keeps what it has left, so that
-    /// opening twice cannot refill it.
+    /// Opens the allowance of `root`. A root that is already open keeps what it has left, so opening
+    /// it again does not refill it. A root whose deadline has passed is not opened.
     pub fn open(&mut self, now_us: u64, root: RootId, allowance: u8, deadline_us: u64) {
         self.expire(now_us);
         if deadline_us <= now_us || self.roots.contains_key(&root) {
             return;
         }
-        self.roots.insert(root, Allowance { left: allowance, deadline_us });
+        self.roots.insert(root, Allowance { remaining: allowance, deadline_us });
         self.deadlines.insert((deadline_us, root));
     }
 
-    /// Takes one extra attempt from `root`. False when nothing is left, when the deadline has
-    /// passed and when the root is not open here.
+    /// Takes one extra attempt from the allowance of `root`.
+    ///
+    /// Returns false if none is left, the deadline has passed or the root is not open here.
     pub fn take(&mut self, now_us: u64, root: RootId) -> bool {
         let Some(entry) = self.roots.get_mut(&root) else {
             return false;
         };
-        if entry.deadline_us <= now_us || entry.left == 0 {
+        if entry.deadline_us <= now_us || entry.remaining == 0 {
             return false;
         }
-        entry.left -= 1;
+        entry.remaining -= 1;
         true
     }
 
-    /// Ends the allowance of `root`, because its outcome is known.
+    /// Removes the allowance of `root`, whose outcome is known.
     pub fn close(&mut self, root: RootId) {
         if let Some(entry) = self.roots.remove(&root) {
             self.deadlines.remove(&(entry.deadline_us, root));
         }
     }
 
-    /// Forgets the roots whose deadline has passed.
+    /// Removes the roots whose deadline has passed.
     pub fn expire(&mut self, now_us: u64) {
         while let Some(&(deadline_us, root)) = self.deadlines.first() {
             if deadline_us > now_us {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// How many roots are open.
+    /// The number of open roots.
     pub fn len(&self) -> usize {
         self.roots.len()
     }
--- a/src/retry/history.rs
+++ b/src/retry/history.rs
@@ -1,26 +1,26 @@
-//! What all attempts of a hop together allow to be said.
+//! Combines the verdicts of a hop's attempts into the verdict of the hop.
 
 use crate::call::Verdict;
 
-/// What earlier attempts of a hop came to.
+/// The verdicts of a hop's earlier attempts.
 ///
-/// A hop may be told "not run" only when none of its attempts may have run, whatever became of the
-/// last one.
+/// A hop may be reported "not run" only if none of its attempts may have run, whatever the verdict of
+/// the last one.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptHistory {
-    /// The latest earlier verdict of an attempt that ran or may have run.
+    /// The latest verdict of an earlier attempt that ran or may have run.
     ran: Option<Verdict>,
 }
 
 impl AttemptHistory {
-    /// Keeps the verdict of an attempt that is followed by another one.
+    /// Records the verdict of an attempt that will be retried.
     pub fn note(&mut self, verdict: &Verdict) {
         if !verdict.is_not_run() {
             self.ran = Some(verdict.clone());
         }
     }
 
-    /// The verdict of the hop, given that of its last attempt.
+    /// Returns the verdict of the hop, given that of its last attempt, and clears the history.
     pub fn conclude(&mut self, last: Verdict) -> Verdict {
         match self.ran.take() {
             Some(earlier) if last.is_not_run() => earlier,
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -1,8 +1,8 @@
-//! When a failed attempt may be made again, and how many extra attempts there may be.
+//! Decides whether and when a failed attempt is retried.
 //!
-//! Three bounds act together: the verdict must allow it ([`next_step`]), the sending node must have
-//! earned it ([`RetryBudget`]), and the entry node of the root must still have allowance
-//! ([`RootAllowances`]). Nothing here does I/O or reads a clock.
+//! A retry under the bounded rule passes three checks: the verdict must permit it ([`next_step`]),
+//! the sending node must have retry budget ([`RetryBudget`]), and the root must have allowance left
+//! at its entry node ([`RootAllowances`]). This module does no I/O and reads no clock.
 
 pub mod allowance;
 pub mod backoff;
--- a/src/retry/step.rs
+++ b/src/retry/step.rs
@@ -1,4 +1,4 @@
-//! What to do after an attempt that did not succeed.
+//! Chooses the step that follows a failed attempt: a final verdict or a retry.
 
 use bon::Builder;
 use rand::Rng;
@@ -7,64 +7,65 @@
 use crate::call::{Doubt, HttpAnswer, Refusal, RefusalReason, Verdict};
 use crate::config::RetryRule;
 
-/// The HTTP statuses with which a target says that another attempt may succeed.
+/// HTTP statuses that report a temporary failure, after which a retry may succeed.
 const RETRYABLE_STATUSES: [u16; 3] = [502, 503, 504];
-/// The header with which an answer says when to come back, in seconds.
+/// The answer header with the time to wait before a retry, in seconds.
 const RETRY_AFTER_HEADER: &str = "retry-after";
-/// Milliseconds in a second.
 const MS_PER_S: u32 = 1_000;
 
-/// A finished attempt, and what is known about another one.
+/// A finished attempt and the conditions for retrying it.
 #[derive(Clone, Copy, Debug, Builder)]
 pub struct Failure<'a> {
-    /// What became of the attempt.
+    /// The verdict of the attempt.
     pub verdict: &'a Verdict,
     /// Whether the request must not run twice.
     pub at_most_once: bool,
-    /// The number of the attempt that finished: 0 for the first of its hop.
+    /// The number of the finished attempt: 0 for the first of its hop.
     pub retry: u8,
-    /// The present time.
+    /// The current time.
     pub now_us: u64,
-    /// When the call's deadline passes.
+    /// The deadline of the call.
     pub deadline_us: u64,
-    /// How long another attempt is expected to take; 0 where unknown.
+    /// The expected duration of another attempt; 0 if unknown.
     pub expected_latency_us: u64,
-    /// Whether some other target is known whose floor the call's level reaches.
+    /// Whether another known target would admit the call, because the call's level is at or above
+    /// that target's floor.
     pub other_target_open: bool,
 }
 
-/// What to do after an attempt.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryStep {
     /// The verdict is final at this hop.
     Never,
-    /// Ask the node's budget and the root's entry node; when both grant, wait and try again.
+    /// Ask the node's retry budget and the root's entry node; retry after the backoff if both grant
+    /// it.
     AfterGrant {
-        /// How long to wait, in microseconds.
+        /// The time to wait before the retry, in microseconds.
         backoff_us: u64,
     },
-    /// Wait and try again without asking; only the naive rule does that.
+    /// Retry after the backoff without a grant; only the naive rule does this.
     After {
-        /// How long to wait, in microseconds.
+        /// The time to wait before the retry, in microseconds.
         backoff_us: u64,
     },
 }
 
-/// How soon a verdict allows another attempt.
+/// Whether and how soon a verdict permits a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Chance {
-    /// Another attempt is forbidden, or would meet the same fate.
-    Hopeless,
-    /// Another target may take it at once.
-    AtOnce,
-    /// Waiting may help; the verdict asks for at least this long.
-    Later {
-        /// The Retry-After of the verdict, in milliseconds.
+enum Retryability {
+    /// A retry is not allowed or would fail in the same way.
+    Never,
+    /// A retry may succeed at once, on another target.
+    Immediate,
+    /// A retry may succeed after a wait.
+    Delayed {
+        /// The minimum wait that the verdict asks for, in milliseconds.
         retry_after_ms: u32,
     },
 }
 
-/// Decides whether and when the attempt in `failure` is made again.
+/// Decides whether and when the attempt in `failure` is retried.
 pub fn next_step<R: Rng>(rule: &RetryRule, failure: &Failure<'_>, rng: &mut R) -> RetryStep {
     match rule {
         RetryRule::None => RetryStep::Never,
@@ -73,73 +74,76 @@
     }
 }
 
-/// The naive rule retries whatever failed and is not harmful to repeat, at once.
+/// The naive rule: retries at once whatever failed and is safe to repeat.
 fn naive_step(retries: u8, failure: &Failure<'_>) -> RetryStep {
-    let spent = failure.retry >= retries;
-    let late = failure.now_us >= failure.deadline_us;
-    if spent || late || !naively_retryable(failure) {
+    let is_exhausted = failure.retry >= retries;
+    let is_past_deadline = failure.now_us >= failure.deadline_us;
+    if is_exhausted || is_past_deadline || !is_naively_retryable(failure) {
         return RetryStep::Never;
     }
     RetryStep::After { backoff_us: 0 }
 }
 
-/// Whether a client without knowledge of the chain would try again.
-fn naively_retryable(failure: &Failure<'_>) -> bool {
+/// Whether a client that does not know the rest of the call chain would retry.
+fn is_naively_retryable(failure: &Failure<'_>) -> bool {
     match failure.verdict {
         Verdict::Answered(answer) => !failure.at_most_once && answer.status >= 500,
         Verdict::MayHaveRun(_) => !failure.at_most_once,
-        Verdict::NotRun(refusal) => !is_final(refusal.reason),
+        Verdict::NotRun(refusal) => !is_permanent(refusal.reason),
     }
 }
 
-/// The bounded rule.
+/// The bounded rule: retries after the backoff if the attempt is expected to end before the deadline
+/// and the retry is granted.
 fn bounded_step<R: Rng>(rule: &RetryRule, failure: &Failure<'_>, rng: &mut R) -> RetryStep {
-    let backoff_us = match chance(failure) {
-        Chance::Hopeless => return RetryStep::Never,
-        Chance::AtOnce => 0,
-        Chance::Later { retry_after_ms } => backoff_us(rule, failure.retry, retry_after_ms, rng),
+    let backoff_us = match retryability(failure) {
+        Retryability::Never => return RetryStep::Never,
+        Retryability::Immediate => 0,
+        Retryability::Delayed { retry_after_ms } => {
+            backoff_us(rule, failure.retry, retry_after_ms, rng)
+        }
     };
-    let done_us =
+    let expected_end_us =
         failure.now_us.saturating_add(backoff_us).saturating_add(failure.expected_latency_us);
-    if done_us >= failure.deadline_us {
+    if expected_end_us >= failure.deadline_us {
         return RetryStep::Never;
     }
     RetryStep::AfterGrant { backoff_us }
 }
 
-/// What the verdict says about another attempt.
-fn chance(failure: &Failure<'_>) -> Chance {
+/// Whether the verdict permits a retry.
+fn retryability(failure: &Failure<'_>) -> Retryability {
     match failure.verdict {
-        Verdict::NotRun(refusal) => chance_after_refusal(refusal, failure.other_target_open),
-        _ if failure.at_most_once => Chance::Hopeless,
-        Verdict::Answered(answer) => chance_after_answer(answer),
-        Verdict::MayHaveRun(doubt) => chance_after_doubt(*doubt),
+        Verdict::NotRun(refusal) => refusal_retryability(refusal, failure.other_target_open),
+        _ if failure.at_most_once => Retryability::Never,
+        Verdict::Answered(answer) => answer_retryability(answer),
+        Verdict::MayHaveRun(doubt) => doubt_retryability(*doubt),
     }
 }
 
-/// Only a refusal leaves an at-most-once request free to be sent again.
-fn chance_after_refusal(refusal: &Refusal, other_target_open: bool) -> Chance {
-    let later = Chance::Later { retry_after_ms: refusal.retry_after_ms };
+/// Whether a refusal permits a retry. An at-most-once request can be retried only after a refusal.
+fn refusal_retryability(refusal: &Refusal, other_target_open: bool) -> Retryability {
+    let delayed = Retryability::Delayed { retry_after_ms: refusal.retry_after_ms };
     match refusal.reason {
-        reason if is_final(reason) => Chance::Hopeless,
-        // Below the floor of every target: the service as a whole is overloaded, and an extra
-        // attempt would feed what it fled from. The caller is told when to come back instead.
-        RefusalReason::Shed if other_target_open => Chance::AtOnce,
-        RefusalReason::Shed => Chance::Hopeless,
-        // The table service may be away for an hour; only the caller can wait for that.
-        RefusalReason::KeyUnclaimed => Chance::Hopeless,
+        reason if is_permanent(reason) => Retryability::Never,
+        // Below the floor of every target: the whole service is overloaded, and a retry would add
+        // to the load. The caller gets the Retry-After instead.
+        RefusalReason::Shed if other_target_open => Retryability::Immediate,
+        RefusalReason::Shed => Retryability::Never,
+        // The table service may be unavailable for an hour; only the caller can wait that long.
+        RefusalReason::KeyUnclaimed => Retryability::Never,
         RefusalReason::Leaving
         | RefusalReason::NotReady
         | RefusalReason::TargetUnreachable
         | RefusalReason::Fenced
         | RefusalReason::KeyDelegated(_)
-        | RefusalReason::KeyInherited(_) => Chance::AtOnce,
-        _ => later,
+        | RefusalReason::KeyInherited(_) => Retryability::Immediate,
+        _ => delayed,
     }
 }
 
-/// Whether the same request would be refused for ever.
-fn is_final(reason: RefusalReason) -> bool {
+/// Whether the same request would always be refused.
+fn is_permanent(reason: RefusalReason) -> bool {
     matches!(
         reason,
         RefusalReason::Expired
@@ -150,25 +154,26 @@
     )
 }
 
-/// Only the statuses that speak of a passing state are tried again.
-fn chance_after_answer(answer: &HttpAnswer) -> Chance {
+/// Whether an answer permits a retry: only if its status reports a temporary failure.
+fn answer_retryability(answer: &HttpAnswer) -> Retryability {
     if !RETRYABLE_STATUSES.contains(&answer.status) {
-        return Chance::Hopeless;
+        return Retryability::Never;
     }
-    Chance::Later { retry_after_ms: retry_after_ms(answer) }
+    Retryability::Delayed { retry_after_ms: retry_after_ms(answer) }
 }
 
-/// A read may be repeated where its answer was lost, but not where a repeat meets the same end.
-fn chance_after_doubt(doubt: Doubt) -> Chance {
+/// Whether an attempt that may have run is retried: if its answer was lost, but not if a retry would
+/// end in the same way.
+fn doubt_retryability(doubt: Doubt) -> Retryability {
     match doubt {
         Doubt::Timeout | Doubt::ConnectionLost | Doubt::TargetBroke => {
-            Chance::Later { retry_after_ms: 0 }
+            Retryability::Delayed { retry_after_ms: 0 }
         }
-        _ => Chance::Hopeless,
+        _ => Retryability::Never,
     }
 }
 
-/// The Retry-After of an answer in milliseconds; 0 where it is absent or a date.
+/// The Retry-After of an answer, in milliseconds; 0 if it is absent or is a date.
 fn retry_after_ms(answer: &HttpAnswer) -> u32 {
     for (name, value) in &answer.headers {
         if name != RETRY_AFTER_HEADER {
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -1,4 +1,4 @@
-//! The bounds on extra attempts, and which verdicts allow one.
+//! Tests the limits on retries and which verdicts permit one.
 
 use aspenspring::call::{HttpAnswer, NodeId, RefusalReason, RootId, Verdict};
 use aspenspring::config::RetryRule;
@@ -8,7 +8,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-const SECOND_US: u64 = 1_000_000;
+const DEADLINE_US: u64 = 1_000_000;
 
 fn bounded(allowance: u8) -> RetryRule {
     RetryRule::Bounded { allowance, budget_share: 0.1, backoff_ms: 5, backoff_max_ms: 100 }
@@ -20,7 +20,7 @@
         .at_most_once(at_most_once)
         .retry(0)
         .now_us(0)
-        .deadline_us(SECOND_US)
+        .deadline_us(DEADLINE_US)
         .expected_latency_us(1_000)
         .other_target_open(false)
         .build();
@@ -35,15 +35,15 @@
 fn an_allowance_cannot_be_refilled_nor_outlive_its_deadline() {
     let mut allowances = RootAllowances::new();
     let root = RootId(7);
-    allowances.open(0, root, 2, SECOND_US);
+    allowances.open(0, root, 2, DEADLINE_US);
     assert!(allowances.take(1, root));
-    allowances.open(2, root, 2, SECOND_US);
+    allowances.open(2, root, 2, DEADLINE_US);
     assert!(allowances.take(3, root));
     assert!(!allowances.take(4, root), "opening twice refilled the allowance");
     let late = RootId(8);
-    allowances.open(5, late, 2, SECOND_US);
-    assert!(!allowances.take(SECOND_US, late), "granted at the deadline");
-    allowances.expire(SECOND_US);
+    allowances.open(5, late, 2, DEADLINE_US);
+    assert!(!allowances.take(DEADLINE_US, late), "granted at the deadline");
+    allowances.expire(DEADLINE_US);
     assert_eq!(allowances.len(), 0);
 }
 
--- a/tests/retry_tree.rs
+++ b/tests/retry_tree.rs
@@ -1,4 +1,4 @@
-//! The bounds on extra attempts over whole call trees, whatever fails in them.
+//! Tests the limits on retries over whole call trees under random faults.
 
 use aspenspring::call::{Doubt, HttpAnswer, RefusalReason, RootId, Verdict};
 use aspenspring::config::RetryRule;
@@ -11,18 +11,22 @@
 const DEPTH_MAX: usize = 9;
 const FAN_OUT_MAX: usize = 4;
 const DEADLINE_US: u64 = 60_000_000;
-/// A tree with branches is cut off here, so that a case stays small.
+/// A tree that branches makes no further calls beyond this number of attempts, which bounds the
+/// run time of a case.
 const ATTEMPTS_MAX: u64 = 30_000;
 
-/// What fails at the hops of one depth, as shares of all attempts.
+/// The failure probabilities of an attempt at one depth.
 #[derive(Clone, Copy, Debug)]
 struct Faults {
+    /// Refused before the run.
     refused: f64,
+    /// Run, but the answer is lost.
     lost: f64,
+    /// Answered with 503.
     failed: f64,
 }
 
-/// One root on its way through a tree of services; each depth is one node with its own budget.
+/// The call tree of one root. Each depth is one node with its own retry budget.
 struct Tree<'a> {
     rule: &'a RetryRule,
     depth: usize,
@@ -32,17 +36,17 @@
     allowances: &'a mut RootAllowances,
     budgets: &'a mut [RetryBudget],
     successes: &'a mut [u64],
-    taken: &'a mut [u64],
+    tokens_taken: &'a mut [u64],
     rng: &'a mut SmallRng,
     root: RootId,
     now_us: u64,
     attempts: u64,
     extra: u64,
-    runs_at_end: u64,
+    runs_at_last_depth: u64,
 }
 
 impl Tree<'_> {
-    /// Makes one call at `depth`, with all its attempts.
+    /// Makes one call at `depth`, retries included.
     fn call(&mut self, depth: usize) -> Verdict {
         let mut retry = 0;
         loop {
@@ -78,7 +82,7 @@
         if !self.budgets[depth].try_take(self.now_us) {
             return false;
         }
-        self.taken[depth] += 1;
+        self.tokens_taken[depth] += 1;
         self.allowances.take(self.now_us, self.root)
     }
 
@@ -97,13 +101,13 @@
         Verdict::Answered(HttpAnswer { status, headers: Vec::new(), body: Default::default() })
     }
 
-    /// Runs one attempt at its target, with all calls further down.
+    /// Runs one attempt at its target with all its child calls, and returns the status.
     fn run(&mut self, depth: usize) -> u16 {
         if depth + 1 == self.depth {
-            self.runs_at_end += 1;
+            self.runs_at_last_depth += 1;
         }
-        let cut_off = self.fan_out > 1 && self.attempts > ATTEMPTS_MAX;
-        let children = if depth + 1 < self.depth && !cut_off { self.fan_out } else { 0 };
+        let is_cut_off = self.fan_out > 1 && self.attempts > ATTEMPTS_MAX;
+        let children = if depth + 1 < self.depth && !is_cut_off { self.fan_out } else { 0 };
         for _ in 0..children {
             let verdict = self.call(depth + 1);
             if !matches!(&verdict, Verdict::Answered(answer) if answer.status < 500) {
@@ -114,15 +118,15 @@
     }
 }
 
-/// What a number of roots did, one after the other.
+/// The sums over a number of roots that ran one after the other.
 #[derive(Debug, Default)]
 struct Totals {
-    extra_most: u64,
+    extra_max: u64,
     attempts: u64,
-    runs_at_end: u64,
+    runs_at_last_depth: u64,
     good: u64,
     successes: Vec<u64>,
-    taken: Vec<u64>,
+    tokens_taken: Vec<u64>,
 }
 
 fn run_roots(
@@ -139,8 +143,11 @@
     };
     let mut allowances = RootAllowances::new();
     let mut budgets = vec![RetryBudget::new(share); DEPTH_MAX];
-    let mut totals =
-        Totals { successes: vec![0; DEPTH_MAX], taken: vec![0; DEPTH_MAX], ..Totals::default() };
+    let mut totals = Totals {
+        successes: vec![0; DEPTH_MAX],
+        tokens_taken: vec![0; DEPTH_MAX],
+        ..Totals::default()
+    };
     let mut rng = SmallRng::seed_from_u64(seed);
     for number in 0..roots {
         let root = RootId(number);
@@ -154,20 +161,20 @@
             allowances: &mut allowances,
             budgets: &mut budgets,
             successes: &mut totals.successes,
-            taken: &mut totals.taken,
+            tokens_taken: &mut totals.tokens_taken,
             rng: &mut rng,
             root,
             now_us: 0,
             attempts: 0,
             extra: 0,
-            runs_at_end: 0,
+            runs_at_last_depth: 0,
         };
         let verdict = tree.call(0);
         totals.good +=
             u64::from(matches!(verdict, Verdict::Answered(answer) if answer.status < 500));
-        totals.extra_most = totals.extra_most.max(tree.extra);
+        totals.extra_max = totals.extra_max.max(tree.extra);
         totals.attempts += tree.attempts;
-        totals.runs_at_end += tree.runs_at_end;
+        totals.runs_at_last_depth += tree.runs_at_last_depth;
         allowances.close(root);
     }
     assert!(allowances.is_empty());
@@ -208,11 +215,11 @@
     ) {
         let rule = bounded(allowance, share);
         let totals = run_roots(&rule, (depth, fan_out), &faults, at_most_once, 8, seed);
-        prop_assert!(totals.extra_most <= u64::from(allowance));
-        // The free retry grows back in 10 s; a root takes less than a second here.
-        let regrown = 8.0 * DEADLINE_US as f64 / 10e6;
-        for (taken, successes) in totals.taken.iter().zip(&totals.successes) {
-            prop_assert!(*taken as f64 <= share * *successes as f64 + 1.0 + regrown);
+        prop_assert!(totals.extra_max <= u64::from(allowance));
+        // One free token refills in 10 s, and each of the 8 roots may last until its deadline.
+        let refilled = 8.0 * DEADLINE_US as f64 / 10e6;
+        for (tokens_taken, successes) in totals.tokens_taken.iter().zip(&totals.successes) {
+            prop_assert!(*tokens_taken as f64 <= share * *successes as f64 + 1.0 + refilled);
         }
     }
 }
@@ -221,41 +228,41 @@
     #![proptest_config(config(256))]
 
     #[test]
-    fn a_budget_never_gives_more_than_it_earned(
+    fn a_budget_never_grants_more_than_it_earned(
         share in 0.0..1.0f64,
         steps in prop::collection::vec((0..3u8, 0..300_000u64), 1..400),
     ) {
         let mut budget = RetryBudget::new(share);
-        let (mut now_us, mut successes, mut taken) = (0, 0.0, 0.0);
+        let (mut now_us, mut successes, mut tokens_taken) = (0, 0.0, 0.0);
         for (step, wait_us) in steps {
             now_us += wait_us;
             if step == 0 {
                 budget.on_success(now_us);
                 successes += 1.0;
             } else if budget.try_take(now_us) {
-                taken += 1.0;
+                tokens_taken += 1.0;
             }
-            prop_assert!(taken <= share * successes + 1.0 + now_us as f64 / 10e6 + 1e-3);
+            prop_assert!(tokens_taken <= share * successes + 1.0 + now_us as f64 / 10e6 + 1e-3);
         }
     }
 
     #[test]
     fn backoff_stays_within_its_bounds_and_honours_retry_after(
-        least_ms in 0..50u64,
-        longest_ms in 0..500u64,
+        min_ms in 0..50u64,
+        max_ms in 0..500u64,
         retry in any::<u8>(),
         retry_after_ms in 0..10_000u32,
         seed in any::<u64>(),
     ) {
         let rule = RetryRule::Bounded {
-            allowance: 3, budget_share: 0.1, backoff_ms: least_ms, backoff_max_ms: longest_ms,
+            allowance: 3, budget_share: 0.1, backoff_ms: min_ms, backoff_max_ms: max_ms,
         };
         let mut rng = SmallRng::seed_from_u64(seed);
-        let waited_us = backoff_us(&rule, retry, retry_after_ms, &mut rng);
-        let drawn_us = waited_us - u64::from(retry_after_ms) * 1_000;
-        let doubled_ms = least_ms.saturating_mul(2u64.saturating_pow(u32::from(retry) + 1));
-        prop_assert!(drawn_us >= least_ms * 1_000);
-        prop_assert!(drawn_us <= doubled_ms.min(longest_ms.max(least_ms)) * 1_000);
+        let total_us = backoff_us(&rule, retry, retry_after_ms, &mut rng);
+        let jitter_us = total_us - u64::from(retry_after_ms) * 1_000;
+        let ceiling_ms = min_ms.saturating_mul(2u64.saturating_pow(u32::from(retry) + 1));
+        prop_assert!(jitter_us >= min_ms * 1_000);
+        prop_assert!(jitter_us <= ceiling_ms.min(max_ms.max(min_ms)) * 1_000);
     }
 }
 
@@ -268,21 +275,21 @@
     let rule = bounded(3, 0.1);
     let bounded = run_roots(&rule, (DEPTH_MAX, 1), &faults, false, 1, 1);
     println!(
-        "chain of 9, the last always fails: runs of the last naive {}, bounded {}; attempts in all \
-         {} and {}",
-        naive.runs_at_end, bounded.runs_at_end, naive.attempts, bounded.attempts
+        "chain of 9 hops, the last always fails: runs at the last hop: naive {}, bounded {}; total \
+         attempts: naive {}, bounded {}",
+        naive.runs_at_last_depth, bounded.runs_at_last_depth, naive.attempts, bounded.attempts
     );
-    assert_eq!(bounded.extra_most, 3);
+    assert_eq!(bounded.extra_max, 3);
     assert!(bounded.attempts <= 9 + 3 * 9);
 }
 
 #[test]
-fn a_few_losses_are_mended_with_few_extra_attempts() {
-    for (lost, good_least, attempts_most) in
+fn rare_losses_are_recovered_with_few_extra_attempts() {
+    for (lost, good_min, attempts_max) in
         [(0.001, 0.999, 1.02), (0.01, 0.995, 1.1), (0.05, 0.95, 1.35)]
     {
         let faults = [Faults { refused: 0.0, lost, failed: 0.0 }; DEPTH_MAX];
-        let least = (DEPTH_MAX * 2_000) as f64;
+        let attempts_min = (DEPTH_MAX * 2_000) as f64;
         for (name, rule) in [
             ("none", RetryRule::None),
             ("naive", RetryRule::Naive { retries: 3 }),
@@ -290,9 +297,12 @@
         ] {
             let totals = run_roots(&rule, (DEPTH_MAX, 1), &faults, false, 2_000, 7);
             let good = totals.good as f64 / 2_000.0;
-            let ratio = totals.attempts as f64 / least;
-            println!("lost {lost} at each of 9 hops, {name}: good {good:.4}, attempts {ratio:.3}");
-            assert!(name != "bounded" || (good >= good_least && ratio <= attempts_most));
+            let ratio = totals.attempts as f64 / attempts_min;
+            println!(
+                "{lost} of answers lost at each of 9 hops, {name}: good {good:.4}, attempts per \
+                 call {ratio:.3}"
+            );
+            assert!(name != "bounded" || (good >= good_min && ratio <= attempts_max));
         }
     }
 }
