--- a/tests/once_attempts.rs
+++ b/tests/once_attempts.rs
@@ -1,4 +1,4 @@
-//! The attempt book's rules, one at a time.
+//! Tests the attempt table and the combined outcome of a request.
 
 use aspenspring::call::{AttemptId, Doubt, HttpAnswer, NodeId, Refusal, RefusalReason, Verdict};
 use aspenspring::once::{
@@ -26,7 +26,7 @@
     Arrival::Refused(Refusal { reason, retry_after_ms: 0 })
 }
 
-fn forgotten() -> Verdict {
+fn answer_forgotten() -> Verdict {
     Verdict::MayHaveRun(Doubt::AnswerForgotten)
 }
 
@@ -37,7 +37,7 @@
     assert_eq!(book.arrive(1, attempt(1), DEADLINE_US, OTHER_PATH), Arrival::InProgress);
     assert_eq!(book.in_progress(), 1);
     assert_eq!(book.settle(2, attempt(1), &answer()), vec![PATH, OTHER_PATH]);
-    assert_eq!(book.settle(3, attempt(1), &forgotten()), Vec::new());
+    assert_eq!(book.settle(3, attempt(1), &answer_forgotten()), Vec::new());
     assert_eq!(book.in_progress(), 0);
     assert_eq!(book.arrive(4, attempt(1), DEADLINE_US, PATH), Arrival::Repeat(answer()));
     let reply = book.fence(5, attempt(1), DEADLINE_US, PATH);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn forgotten_attempt_is_neither_run_again_nor_called_not_run() {
+fn expired_attempt_neither_runs_again_nor_is_reported_not_run() {
     let mut book = book();
     assert_eq!(book.arrive(0, attempt(1), DEADLINE_US, PATH), Arrival::New);
     book.settle(1, attempt(1), &answer());
@@ -70,9 +70,12 @@
     book.expire(DEADLINE_US + MARGIN_US);
     assert!(book.is_empty());
     let late_us = 1 << 40;
-    assert_eq!(book.arrive(late_us, attempt(1), late_us, PATH), Arrival::Repeat(forgotten()));
+    assert_eq!(
+        book.arrive(late_us, attempt(1), late_us, PATH),
+        Arrival::Repeat(answer_forgotten())
+    );
     let reply = book.fence(late_us, attempt(1), late_us, PATH);
-    assert_eq!(reply, FenceReply::Settled(forgotten()));
+    assert_eq!(reply, FenceReply::Settled(answer_forgotten()));
 }
 
 #[test]
@@ -87,7 +90,7 @@
 }
 
 #[test]
-fn full_book_refuses_for_good() {
+fn full_table_refuses_permanently() {
     let options = AttemptBookOptions::builder().margin_us(MARGIN_US).entries_max(1).build();
     let mut book = AttemptBook::new(options);
     assert_eq!(book.arrive(0, attempt(1), DEADLINE_US, PATH), Arrival::New);
@@ -105,7 +108,7 @@
 }
 
 #[test]
-fn refusals_make_room_and_stay_refused() {
+fn evicted_refusals_stay_refused() {
     let options = AttemptBookOptions::builder().margin_us(MARGIN_US).entries_max(2).build();
     let mut book = AttemptBook::new(options);
     let shed = Verdict::not_run(RefusalReason::Shed, 0);
@@ -124,25 +127,25 @@
 }
 
 #[test]
-fn unknown_origins_stay_refused_while_a_refused_frame_may_come_again() {
+fn unknown_origins_stay_refused_while_a_refused_frame_may_arrive_again() {
     let options = AttemptBookOptions::builder().origins_max(1).origin_idle_us(1_000).build();
     let mut book = AttemptBook::new(options);
     assert_eq!(book.arrive(0, attempt(1), 10, PATH), Arrival::New);
-    let stranger = AttemptId { origin: NodeId(10), sequence: 1, nonce: 0 };
-    assert_eq!(book.fence(900, stranger, 10, PATH), FenceReply::NowFenced);
+    let unknown = AttemptId { origin: NodeId(10), sequence: 1, nonce: 0 };
+    assert_eq!(book.fence(900, unknown, 10, PATH), FenceReply::NowFenced);
     book.expire_idle_origins(1_000);
     let full = refused(RefusalReason::NodeFull);
-    assert_eq!(book.arrive(1_001, stranger, 2_000, PATH), full);
+    assert_eq!(book.arrive(1_001, unknown, 2_000, PATH), full);
 }
 
 #[test]
-fn dropped_answers_are_doubts() {
+fn dropped_answer_is_reported_as_may_have_run() {
     let options = AttemptBookOptions::builder().answers_max_bytes(0).build();
     let mut book = AttemptBook::new(options);
     assert_eq!(book.arrive(0, attempt(1), DEADLINE_US, PATH), Arrival::New);
     book.settle(1, attempt(1), &answer());
     let reply = book.fence(2, attempt(1), DEADLINE_US, PATH);
-    assert_eq!(reply, FenceReply::Settled(forgotten()));
+    assert_eq!(reply, FenceReply::Settled(answer_forgotten()));
 }
 
 #[test]
@@ -153,23 +156,23 @@
     outcome.record(attempt(1), &lost);
     outcome.record(attempt(2), &shed);
     assert_eq!(outcome.conclude(shed.clone()), lost);
-    // The fence was answered after all: the first attempt did not run.
+    // A late reply to the fence shows that the first attempt did not run.
     outcome.record(attempt(1), &Verdict::not_run(RefusalReason::Fenced, 0));
     assert_eq!(outcome.conclude(shed.clone()), shed);
     assert_eq!(outcome.conclude(answer()), answer());
 }
 
 #[test]
-fn key_that_went_elsewhere_is_not_called_not_run_outside() {
+fn delegated_key_is_not_reported_as_not_run_to_the_caller() {
     let moved = Verdict::not_run(RefusalReason::KeyDelegated(NodeId(3)), 0);
     assert_eq!(external_verdict(moved), Verdict::MayHaveRun(Doubt::KeyOwnerGone));
     let shed = Verdict::not_run(RefusalReason::Shed, 0);
     assert_eq!(external_verdict(shed.clone()), shed);
 }
 
-/// A book that is too small refuses calls of a node that has processor time left.
+/// A table that is too small makes a node refuse calls while it has CPU time left.
 #[test]
-fn the_usual_book_has_room_for_ten_thousand_answers_a_second() {
+fn default_limits_have_room_for_ten_thousand_answers_per_second() {
     let mut book = AttemptBook::new(AttemptBookOptions::builder().build());
     for sequence in 0..160_000 {
         let now_us = sequence * 100;
--- a/tests/once_faults.rs
+++ b/tests/once_faults.rs
@@ -1,11 +1,11 @@
-//! At most one run and truthful "not run", under any order of losses, repeats, crashes, freezes,
-//! delegations and handovers; and each mechanism shown to be needed.
+//! Tests at-most-once execution and correct "not run" verdicts under random losses, duplicates,
+//! crashes, pauses, delegations and handovers, and that each mechanism is necessary.
 
 mod once_world;
 
 use std::cell::Cell;
 
-use once_world::{End, Flaw, Op, Rule, Tally, Trace, play};
+use once_world::{End, EventCounts, Flaw, Invariant, Op, Trace, run_ops};
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestError, TestRunner};
 
@@ -21,7 +21,7 @@
     })
 }
 
-/// The flaws that random steps find. `CallsOutliveConnections` takes far more cases than a test has
+/// The flaws that random steps detect. `CallsOutliveConnections` needs far more cases than a test has
 /// time for; its steps are kept as a trace.
 const FLAWS: [Flaw; 11] = [
     Flaw::SameIdentity,
@@ -39,11 +39,11 @@
 
 #[test]
 fn rules_hold_under_faults() {
-    let total = Cell::new(Tally::default());
+    let total = Cell::new(EventCounts::default());
     let result = runner(CASES, 52).run(&ops(), |ops| {
-        let (tally, _) = play(None, &ops).map_err(fail)?;
+        let (counts, _) = run_ops(None, &ops).map_err(fail)?;
         let mut sum = total.get();
-        add(&mut sum, tally);
+        add(&mut sum, counts);
         total.set(sum);
         Ok(())
     });
@@ -67,28 +67,32 @@
         total.full_books,
         total.answers_dropped_from_ledgers,
         total.forgotten_attempts,
-        total.elsewhere,
+        total.keys_held_elsewhere,
         total.dropped_answers,
     ];
-    assert!(counts.iter().all(|count| *count >= 100), "hardly put to the test: {total:?}");
+    assert!(
+        counts.iter().all(|count| *count >= 100),
+        "an event occurred fewer than 100 times: {total:?}"
+    );
 }
 
 #[test]
 fn each_mechanism_is_needed() {
     for flaw in FLAWS {
-        let ops = find(flaw).unwrap_or_else(|| panic!("{flaw:?} breaks no rule"));
-        assert_eq!(play(Some(flaw), &ops).err(), Some(flaw.breaks()), "{flaw:?}");
-        let (_, stated) = play(None, &ops).expect("the same steps with the mechanism in place");
-        let about = format!("Without its mechanism ({flaw:?}) it breaks {:?}.", flaw.breaks());
+        let ops = find(flaw).unwrap_or_else(|| panic!("{flaw:?} violates no invariant"));
+        assert_eq!(run_ops(Some(flaw), &ops).err(), Some(flaw.violates()), "{flaw:?}");
+        let (_, stated) =
+            run_ops(None, &ops).expect("the same steps satisfy all invariants without the flaw");
+        let about = format!("Without its mechanism ({flaw:?}) it breaks {:?}.", flaw.violates());
         let trace = Trace { about, flaw: Some(flaw), stated, ops };
         println!("{}", serde_json::to_string(&trace).unwrap());
     }
 }
 
-/// The shortest steps found that break the rule without the mechanism.
+/// Finds steps, shrunk as far as possible, that violate the flaw's invariant.
 fn find(flaw: Flaw) -> Option<Vec<Op>> {
     let result = runner(FLAWED_CASES, 53)
-        .run(&ops(), |ops| play(Some(flaw), &ops).map(|_| ()).map_err(fail));
+        .run(&ops(), |ops| run_ops(Some(flaw), &ops).map(|_| ()).map_err(fail));
     match result {
         Ok(()) => None,
         Err(TestError::Fail(_, ops)) => Some(ops),
@@ -96,12 +100,12 @@
     }
 }
 
-fn fail(rule: Rule) -> TestCaseError {
-    TestCaseError::fail(format!("{rule:?}"))
+fn fail(invariant: Invariant) -> TestCaseError {
+    TestCaseError::fail(format!("{invariant:?}"))
 }
 
 /// Adds `other` to `sum`.
-fn add(sum: &mut Tally, other: Tally) {
+fn add(sum: &mut EventCounts, other: EventCounts) {
     sum.runs += other.runs;
     sum.runs_of_delegated += other.runs_of_delegated;
     sum.runs_of_inherited += other.runs_of_inherited;
@@ -116,11 +120,11 @@
     sum.full_books += other.full_books;
     sum.answers_dropped_from_ledgers += other.answers_dropped_from_ledgers;
     sum.forgotten_attempts += other.forgotten_attempts;
-    sum.elsewhere += other.elsewhere;
+    sum.keys_held_elsewhere += other.keys_held_elsewhere;
     sum.dropped_answers += other.dropped_answers;
 }
 
-/// Steps in a mixture that lets requests get somewhere.
+/// Random steps, weighted so that requests make progress.
 fn ops() -> impl Strategy<Value = Vec<Op>> {
     let end = prop_oneof![
         4 => Just(End::Answered),
--- a/tests/once_key.rs
+++ b/tests/once_key.rs
@@ -1,4 +1,4 @@
-//! The text form of idempotency keys, and what is derived from them.
+//! Tests the text form of idempotency keys, claim row keys and delegated keys.
 
 use aspenspring::call::key::{FOREIGN_MAX_BYTES, claim_row_key};
 use aspenspring::call::{Key, KeyTextError, NodeId, ParsedKey};
@@ -40,20 +40,20 @@
     }
 
     #[test]
-    fn claim_rows_differ_and_suit_the_table(
+    fn claim_row_keys_are_distinct_and_valid_in_the_table(
         service in "[a-z-]{1,12}", foreign in "[!-~]{1,255}", cut in 1usize..12,
     ) {
         let row = claim_row_key(&service, &foreign);
         prop_assert!(row.bytes().all(|b| b.is_ascii_alphanumeric() || b":._-".contains(&b)));
         prop_assert_eq!(&row, &claim_row_key(&service, &foreign));
         let cut = cut.min(service.len());
-        let moved = format!("{}{foreign}", &service[cut..]);
-        prop_assert_ne!(row, claim_row_key(&service[..cut - 1], &moved));
+        let shifted = format!("{}{foreign}", &service[cut..]);
+        prop_assert_ne!(row, claim_row_key(&service[..cut - 1], &shifted));
     }
 }
 
 #[test]
-fn broken_texts_are_told_apart() {
+fn invalid_texts_give_distinct_errors() {
     let long = "k".repeat(FOREIGN_MAX_BYTES + 1);
     let cases = [
         ("", KeyTextError::Empty),
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn delegated_key_depends_on_key_and_heir_only() {
+fn delegated_key_depends_only_on_key_and_successor() {
     let key = Key { owner: NodeId(1), minted_unix_ms: 2, nonce: 3 };
     let delegated = key.delegated_to(NodeId(9));
     assert_eq!(delegated, key.delegated_to(NodeId(9)));
--- a/tests/once_ledger.rs
+++ b/tests/once_ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger's rules, one at a time.
+//! Tests the ledger: runs, expiry, limits, delegation and handover.
 
 use aspenspring::call::{
     AttemptId, Doubt, HttpAnswer, Key, KeyLifetime, NodeId, RefusalReason, Verdict,
@@ -13,7 +13,7 @@
 const TTL_MS: u64 = 60_000;
 const REQUEST_TTL_MS: u64 = 10_000;
 const REQUEST: Fingerprint = Fingerprint(7);
-const ROOM_BYTES: usize = 1 << 20;
+const HANDOVER_MAX_BYTES: usize = 1 << 20;
 
 fn ledger() -> Ledger {
     ledger_of(OWNER)
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn refusal_frees_the_key_only_for_its_holder() {
+fn only_a_refusal_of_the_running_attempt_frees_the_key() {
     let mut ledger = ledger();
     assert_eq!(offer(&mut ledger, key(1), 1), Offer::Run);
     assert_eq!(offer(&mut ledger, key(1), 2), Offer::Joined);
@@ -73,13 +73,13 @@
     assert_eq!(offer(&mut ledger, key(1), 3), Offer::Joined);
     assert_eq!(ledger.refused(key(1), attempt(1)), vec![attempt(2), attempt(3)]);
     assert_eq!(offer(&mut ledger, key(1), 4), Offer::Run);
-    // The refusal of the first holder, heard twice, does not free the key for a third.
+    // A repeated refusal of the first attempt does not free the key, which another attempt runs now.
     assert_eq!(ledger.refused(key(1), attempt(1)), Vec::new());
     assert_eq!(offer(&mut ledger, key(1), 5), Offer::Joined);
 }
 
 #[test]
-fn doubt_is_kept() {
+fn doubt_is_recorded() {
     let mut ledger = ledger();
     assert_eq!(offer(&mut ledger, key(1), 1), Offer::Run);
     ledger.finished(key(1), attempt(1), &Verdict::MayHaveRun(Doubt::TargetBroke));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn forgotten_key_is_never_run_again() {
+fn expired_key_never_runs_again() {
     let mut ledger = ledger();
     assert_eq!(offer(&mut ledger, key(1), 1), Offer::Run);
     assert_eq!(offer(&mut ledger, key(2), 2), Offer::Run);
@@ -115,7 +115,7 @@
     assert_eq!(ledger.len(), 2);
     ledger.expire(NOW_UNIX_MS + TTL_MS);
     assert_eq!(ledger.len(), 1, "the running key stays");
-    // Even if the caller's clock went back, the key is behind the horizon.
+    // The key stays behind the horizon even if the clock passed to the ledger goes back.
     assert_eq!(offer(&mut ledger, key(1), 3), doubt(Doubt::KeyExpired));
     assert_eq!(ledger.finished(key(2), attempt(2), &answer(3)), Vec::new());
     ledger.expire(NOW_UNIX_MS + TTL_MS);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn key_for_one_request_is_forgotten_soon() {
+fn key_for_one_request_expires_early() {
     let mut ledger = ledger();
     let short = Key::mint(OWNER, NOW_UNIX_MS, 1, KeyLifetime::OneRequest);
     assert_eq!(short.delegated_to(SUCCESSOR).lifetime(), KeyLifetime::OneRequest);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn full_ledger_forgets_the_oldest_early_and_never_runs_them_again() {
+fn full_ledger_expires_the_oldest_keys_early_and_never_runs_them_again() {
     let options = LedgerOptions::builder().entries_max(2).key_ttl_min_ms(1_000).build();
     let mut ledger = Ledger::new(OWNER, options);
     let later = |nonce, ms| Key { minted_unix_ms: NOW_UNIX_MS + ms, ..key(nonce) };
@@ -152,7 +152,7 @@
     assert_eq!(ledger.len(), 2);
     assert_eq!(offer(&mut ledger, later(1, 0), 4), doubt(Doubt::KeyExpired));
     assert_eq!(offer(&mut ledger, later(2, 5), 5), Offer::Settled(answer(1)));
-    // A key as old as the forgotten one cannot be told from it.
+    // A key with the same minting time as the removed one cannot be told apart from it.
     assert_eq!(offer(&mut ledger, later(9, 0), 6), doubt(Doubt::KeyExpired));
 }
 
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn dropped_answer_leaves_a_doubt() {
+fn dropped_answer_is_reported_as_may_have_run() {
     let options = LedgerOptions::builder().answers_max_bytes(3_000).build();
     let mut ledger = Ledger::new(OWNER, options);
     for nonce in 1..=3 {
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn delegation_is_once_and_for_ever() {
+fn delegation_is_permanent() {
     let mut ledger = ledger();
     let delegated = key(1).delegated_to(SUCCESSOR);
     assert_eq!(ledger.delegate(NOW_UNIX_MS, key(1), SUCCESSOR), Ok(delegated));
@@ -218,18 +218,21 @@
 }
 
 #[test]
-fn heir_answers_and_runs_the_leavers_keys() {
-    let (mut leaver, mut successor) = (ledger(), ledger_of(SUCCESSOR));
-    assert_eq!(offer(&mut leaver, key(1), 1), Offer::Run);
-    assert_eq!(leaver.hand_over(SUCCESSOR, ROOM_BYTES), Err(HandoverError::StillRunning(1)));
-    leaver.finished(key(1), attempt(1), &answer(3));
-    let encoded = leaver.hand_over(SUCCESSOR, ROOM_BYTES).unwrap();
-    assert_eq!(leaver.hand_over(SUCCESSOR, ROOM_BYTES), Ok(encoded.clone()));
-    let other = leaver.hand_over(NodeId(3), ROOM_BYTES);
+fn successor_answers_and_runs_the_keys_of_the_leaving_node() {
+    let (mut leaving, mut successor) = (ledger(), ledger_of(SUCCESSOR));
+    assert_eq!(offer(&mut leaving, key(1), 1), Offer::Run);
+    assert_eq!(
+        leaving.hand_over(SUCCESSOR, HANDOVER_MAX_BYTES),
+        Err(HandoverError::StillRunning(1))
+    );
+    leaving.finished(key(1), attempt(1), &answer(3));
+    let encoded = leaving.hand_over(SUCCESSOR, HANDOVER_MAX_BYTES).unwrap();
+    assert_eq!(leaving.hand_over(SUCCESSOR, HANDOVER_MAX_BYTES), Ok(encoded.clone()));
+    let other = leaving.hand_over(NodeId(3), HANDOVER_MAX_BYTES);
     assert_eq!(other, Err(HandoverError::AlreadyHandedOver(SUCCESSOR)));
     for nonce in 1..=2 {
         let refused = not_run(RefusalReason::KeyInherited(SUCCESSOR));
-        assert_eq!(offer(&mut leaver, key(nonce), 2), refused);
+        assert_eq!(offer(&mut leaving, key(nonce), 2), refused);
     }
     assert_eq!(offer(&mut successor, key(2), 3), doubt(Doubt::KeyElsewhere));
     successor.adopt(NOW_UNIX_MS, Handover::decode(&encoded).unwrap()).unwrap();
@@ -241,15 +244,19 @@
 }
 
 #[test]
-fn handover_is_for_one_heir_whole_and_bounded() {
-    let mut leaver = ledger();
+fn handover_is_for_one_successor_complete_and_bounded() {
+    let mut leaving = ledger();
     for nonce in 1..=4 {
-        assert_eq!(offer(&mut leaver, key(nonce), nonce), Offer::Run);
-        leaver.finished(key(nonce), attempt(nonce), &answer(500));
+        assert_eq!(offer(&mut leaving, key(nonce), nonce), Offer::Run);
+        leaving.finished(key(nonce), attempt(nonce), &answer(500));
     }
-    assert!(matches!(leaver.hand_over(SUCCESSOR, 20), Err(HandoverError::TooLarge(_))));
-    assert_eq!(offer(&mut leaver, key(1), 5), Offer::Settled(answer(500)), "it goes on");
-    let encoded = leaver.hand_over(SUCCESSOR, 1_500).unwrap();
+    assert!(matches!(leaving.hand_over(SUCCESSOR, 20), Err(HandoverError::TooLarge(_))));
+    assert_eq!(
+        offer(&mut leaving, key(1), 5),
+        Offer::Settled(answer(500)),
+        "the ledger stays open"
+    );
+    let encoded = leaving.hand_over(SUCCESSOR, 1_500).unwrap();
     assert!(encoded.len() <= 1_500);
     for length in 0..encoded.len() {
         assert_eq!(Handover::decode(&encoded[..length]), Err(AdoptError::Malformed));
@@ -258,8 +265,8 @@
     longer.push(0);
     assert_eq!(Handover::decode(&longer), Err(AdoptError::Malformed));
     let handover = Handover::decode(&encoded).unwrap();
-    let stranger = ledger_of(NodeId(3)).adopt(NOW_UNIX_MS, handover.clone());
-    assert_eq!(stranger, Err(AdoptError::OtherSuccessor(SUCCESSOR)));
+    let other = ledger_of(NodeId(3)).adopt(NOW_UNIX_MS, handover.clone());
+    assert_eq!(other, Err(AdoptError::OtherSuccessor(SUCCESSOR)));
     let mut successor = ledger_of(SUCCESSOR);
     successor.adopt(NOW_UNIX_MS, handover).unwrap();
     assert_eq!(offer(&mut successor, key(1), 6), doubt(Doubt::AnswerForgotten));
--- a/tests/once_sender.rs
+++ b/tests/once_sender.rs
@@ -1,4 +1,4 @@
-//! Answers matched to calls.
+//! Tests that answers are matched to the calls they belong to.
 
 use aspenspring::call::{AttemptId, NodeId};
 use aspenspring::once::{AbandonedAttempt, CallToken, InFlightAttempts};
@@ -6,13 +6,13 @@
 #[test]
 fn answers_reach_their_own_call_once_and_from_the_right_node() {
     let attempt = |sequence| AttemptId { origin: NodeId(1), sequence, nonce: 0 };
-    let (call, other) = (CallToken(1), CallToken(2));
-    let (node, stranger) = (NodeId(8), NodeId(9));
+    let (call, other_call) = (CallToken(1), CallToken(2));
+    let (node, other_node) = (NodeId(8), NodeId(9));
     let mut in_flight = InFlightAttempts::default();
-    for (sequence, token) in [(1, call), (2, call), (3, other), (4, other)] {
+    for (sequence, token) in [(1, call), (2, call), (3, other_call), (4, other_call)] {
         in_flight.record_sent(attempt(sequence), node, token, 100 * sequence);
     }
-    assert_eq!(in_flight.take_answered(stranger, attempt(1)), None);
+    assert_eq!(in_flight.take_answered(other_node, attempt(1)), None);
     assert_eq!(in_flight.take_answered(node, attempt(1)), Some(call));
     assert_eq!(in_flight.take_answered(node, attempt(1)), None);
     assert_eq!(in_flight.unanswered_by(node), vec![attempt(2), attempt(3), attempt(4)]);
@@ -22,7 +22,7 @@
         vec![AbandonedAttempt { attempt: attempt(2), to: node, call }]
     );
     assert_eq!(in_flight.take_answered(node, attempt(2)), None);
-    assert_eq!(in_flight.close(other).len(), 2);
+    assert_eq!(in_flight.close(other_call).len(), 2);
     assert_eq!(in_flight.take_answered(node, attempt(4)), None);
     assert!(in_flight.is_empty() && in_flight.unanswered_by(node).is_empty());
 }
--- a/tests/once_traces.rs
+++ b/tests/once_traces.rs
@@ -1,22 +1,27 @@
-//! Replays the kept traces of ledgers and attempt books against their stated outcomes.
+//! Replays the recorded traces of ledgers and attempt tables and checks their expected outcomes.
 
 mod once_world;
 
 use std::path::Path;
 
-use once_world::{Trace, play};
+use once_world::{Trace, run_ops};
 
 fn replay(path: &Path, text: String) -> datatest_stable::Result<()> {
     let trace: Trace = serde_json::from_str(&text)?;
-    let (_, stated) = play(None, &trace.ops).map_err(|rule| format!("{rule:?} is broken"))?;
+    let (_, stated) =
+        run_ops(None, &trace.ops).map_err(|invariant| format!("{invariant:?} is violated"))?;
     if stated != trace.stated {
         let got = serde_json::to_string(&stated)?;
-        return Err(format!("{} states something else than {got}", path.display()).into());
+        return Err(format!(
+            "{}: the outcome differs from the recorded one: {got}",
+            path.display()
+        )
+        .into());
     }
     let Some(flaw) = trace.flaw else { return Ok(()) };
-    match play(Some(flaw), &trace.ops) {
-        Err(rule) if rule == flaw.breaks() => Ok(()),
-        other => Err(format!("without {flaw:?} the outcome is {other:?}").into()),
+    match run_ops(Some(flaw), &trace.ops) {
+        Err(invariant) if invariant == flaw.violates() => Ok(()),
+        other => Err(format!("with the flaw {flaw:?} the outcome is {other:?}").into()),
     }
 }
 
--- a/tests/once_world/mod.rs
+++ b/tests/once_world/mod.rs
@@ -1,5 +1,6 @@
-//! Several nodes with their ledgers and attempt books, a network that loses, doubles and reorders,
-//! and the rules that must hold after each step. A [`Flaw`] takes one mechanism away.
+//! Simulates several nodes with their ledgers and attempt tables and a network that loses, duplicates
+//! and reorders messages, and checks the invariants after each step. A [`Flaw`] disables one
+//! mechanism.
 
 mod node;
 mod receiver;
@@ -13,12 +14,12 @@
 use aspenspring::once::{CallToken, Handover, InFlightAttempts, Outcome};
 
 use node::{Node, new_book, new_ledger};
-pub use step::{End, Flaw, Op, Rule, Stated, Tally, Trace};
+pub use step::{End, EventCounts, Flaw, Invariant, Op, RunOutcome, Trace};
 
 const START_UNIX_MS: u64 = 1_000_000_000;
 const CALL_US: u64 = 1_000_000;
 const HANDOVER_MAX_BYTES: usize = 4_096;
-/// How far the clock of each node is off, in milliseconds.
+/// The clock offset of each node, in milliseconds.
 const CLOCK_OFFSETS_MS: [u64; 3] = [0, 400, 900];
 
 #[derive(Clone, Debug)]
@@ -29,24 +30,24 @@
     Handover { to: NodeId, bytes: Vec<u8> },
 }
 
-/// One request of a caller and the attempts made for it.
+/// One request of a caller with its attempts.
 struct Request {
     sender: usize,
-    root: usize,
+    key_index: usize,
     attempts: Vec<(AttemptId, NodeId, Key)>,
     outcome: Outcome,
-    told: Option<String>,
+    reported: Option<String>,
 }
 
 pub struct World {
     flaw: Option<Flaw>,
-    /// The only rule that counts; none where all do.
-    only: Option<Rule>,
-    pub tally: Tally,
+    /// The only invariant that is checked; `None` if all are.
+    only: Option<Invariant>,
+    pub counts: EventCounts,
     now_us: u64,
-    ids: u64,
+    last_id: u64,
     nodes: Vec<Node>,
-    /// Where each node life, also a past one, is or was to be reached.
+    /// The index of the node that each incarnation belongs to, also of past ones.
     addresses: HashMap<NodeId, usize>,
     senders: Vec<(NodeId, u64, InFlightAttempts)>,
     network: Vec<Message>,
@@ -55,10 +56,10 @@
     requests: Vec<Request>,
     request_of: HashMap<AttemptId, usize>,
     ran: HashSet<AttemptId>,
-    told_not_run: HashSet<AttemptId>,
+    reported_not_run: HashSet<AttemptId>,
 }
 
-type Checked = Result<(), Rule>;
+type Checked = Result<(), Invariant>;
 
 impl World {
     pub fn new(flaw: Option<Flaw>) -> Self {
@@ -67,10 +68,10 @@
         let sender = |index| (NodeId(index), 0, InFlightAttempts::default());
         let mut world = Self {
             flaw,
-            only: flaw.map(Flaw::breaks),
-            tally: Tally::default(),
+            only: flaw.map(Flaw::violates),
+            counts: EventCounts::default(),
             now_us: 0,
-            ids: 200,
+            last_id: 200,
             nodes,
             addresses,
             senders: (1..3).map(sender).collect(),
@@ -80,14 +81,14 @@
             requests: Vec::new(),
             request_of: HashMap::new(),
             ran: HashSet::new(),
-            told_not_run: HashSet::new(),
+            reported_not_run: HashSet::new(),
         };
         world.mint(0, KeyLifetime::Caller);
         world.mint(1, KeyLifetime::Caller);
         world
     }
 
-    /// Makes one step and checks the rules that it touches.
+    /// Performs one step and checks the invariants that it affects.
     pub fn step(&mut self, op: Op) -> Checked {
         match op {
             Op::Mint { node } => self.mint(node, KeyLifetime::Caller),
@@ -113,7 +114,7 @@
         Ok(())
     }
 
-    /// Ends everything that is queued or running; then no attempt may be left without a verdict.
+    /// Ends all queued and running calls, after which every attempt must have a verdict.
     pub fn drain(&mut self) -> Checked {
         for node in 0..3 {
             self.nodes[node].frozen = false;
@@ -124,17 +125,17 @@
                 self.finish(node as u8, 0, End::Answered)?;
             }
             if self.nodes[node].book.in_progress() > 0 {
-                self.broken(Rule::EveryAttemptIsSettled)?;
+                self.violated(Invariant::EveryAttemptIsSettled)?;
             }
         }
         Ok(())
     }
 
-    /// Reports a broken rule, unless another one is looked for.
-    fn broken(&self, rule: Rule) -> Checked {
+    /// Reports a violated invariant, unless only another one is checked.
+    fn violated(&self, invariant: Invariant) -> Checked {
         match self.only {
-            Some(only) if only != rule => Ok(()),
-            _ => Err(rule),
+            Some(only) if only != invariant => Ok(()),
+            _ => Err(invariant),
         }
     }
 
@@ -144,22 +145,28 @@
 
     fn mint(&mut self, node: u8, lifetime: KeyLifetime) {
         let node = usize::from(node) % 3;
-        self.ids += 1;
-        let key = Key::mint(self.nodes[node].id, self.unix_ms(node), self.ids, lifetime);
+        self.last_id += 1;
+        let key = Key::mint(self.nodes[node].id, self.unix_ms(node), self.last_id, lifetime);
         self.runs.push(0);
         self.keys.push(key);
     }
 
     fn send(&mut self, sender: u8, key: u8, astray: u8) {
         let sender = usize::from(sender) % self.senders.len();
-        let root = usize::from(key) % self.keys.len();
-        let key = self.keys[root];
+        let key_index = usize::from(key) % self.keys.len();
+        let key = self.keys[key_index];
         let to = match astray {
             0 => key.owner,
             other => self.nodes[usize::from(other) % 3].id,
         };
         let outcome = Outcome::default();
-        self.requests.push(Request { sender, root, attempts: Vec::new(), outcome, told: None });
+        self.requests.push(Request {
+            sender,
+            key_index,
+            attempts: Vec::new(),
+            outcome,
+            reported: None,
+        });
         self.attempt(self.requests.len() - 1, to, key);
     }
 
@@ -182,10 +189,10 @@
     }
 
     fn crash(&mut self, node: usize) {
-        self.ids += 1;
+        self.last_id += 1;
         let id = match self.flaw {
             Some(Flaw::SameIdentity) => self.nodes[node].id,
-            _ => NodeId(self.ids),
+            _ => NodeId(self.last_id),
         };
         self.nodes[node] = Node::new(id);
         self.addresses.insert(id, node);
@@ -195,19 +202,19 @@
         let (node, successor) = (usize::from(node) % 3, usize::from(successor) % 3);
         let to = self.nodes[successor].id;
         let flaw = self.flaw;
-        let leaver = &mut self.nodes[node];
-        if leaver.frozen {
+        let leaving = &mut self.nodes[node];
+        if leaving.frozen {
             return;
         }
         let bytes = match flaw {
-            Some(Flaw::EmptyHandover) if leaver.ledger.running() == 0 => {
-                new_ledger(leaver.id).hand_over(to, HANDOVER_MAX_BYTES)
+            Some(Flaw::EmptyHandover) if leaving.ledger.running() == 0 => {
+                new_ledger(leaving.id).hand_over(to, HANDOVER_MAX_BYTES)
             }
-            Some(Flaw::OpenAfterHandover) if leaver.ledger.running() == 0 => {
-                let mut copy = new_ledger(leaver.id);
+            Some(Flaw::OpenAfterHandover) if leaving.ledger.running() == 0 => {
+                let mut copy = new_ledger(leaving.id);
                 copy.hand_over(to, HANDOVER_MAX_BYTES)
             }
-            _ => leaver.ledger.hand_over(to, HANDOVER_MAX_BYTES),
+            _ => leaving.ledger.hand_over(to, HANDOVER_MAX_BYTES),
         };
         if let Ok(bytes) = bytes {
             self.network.push(Message::Handover { to, bytes });
@@ -239,11 +246,12 @@
             Message::Handover { to, .. } => Some(*to),
             Message::Answer { .. } => None,
         };
-        // A fence goes over a new connection, to whoever runs at the address now. A call is lost
-        // with the connection, and so with the life, that it was sent to.
-        let dies_with_life = matches!(message, Message::Call { .. })
+        // A fence is sent over a new connection, to the incarnation that now runs at the address. A
+        // call is lost with its connection, and so with the incarnation it was sent to.
+        let is_bound_to_incarnation = matches!(message, Message::Call { .. })
             && self.flaw != Some(Flaw::CallsOutliveConnections);
-        let is_reachable = |node: &usize| !dies_with_life || Some(self.nodes[*node].id) == to;
+        let is_reachable =
+            |node: &usize| !is_bound_to_incarnation || Some(self.nodes[*node].id) == to;
         let node = to.map(|to| self.addresses[&to]).filter(is_reachable);
         if node.is_some_and(|node| self.nodes[node].frozen) {
             return Ok(());
@@ -252,23 +260,26 @@
             self.network.swap_remove(index);
         }
         match (message, node) {
-            (Message::Call { attempt, key, .. }, Some(node)) => self.arrive(node, attempt, key),
-            (Message::Fence { attempt, .. }, Some(node)) => self.fence_arrives(node, attempt),
+            (Message::Call { attempt, key, .. }, Some(node)) => {
+                self.receive_call(node, attempt, key)
+            }
+            (Message::Fence { attempt, .. }, Some(node)) => self.receive_fence(node, attempt),
             (Message::Handover { bytes, .. }, Some(node)) => {
                 let unix_ms = self.unix_ms(node);
-                let handover = Handover::decode(&bytes).map_err(|_| Rule::HandoverIsReadable)?;
+                let handover =
+                    Handover::decode(&bytes).map_err(|_| Invariant::HandoverIsReadable)?;
                 let adopted = self.nodes[node].ledger.adopt(unix_ms, handover);
-                self.tally.adopted += u32::from(adopted.is_ok());
+                self.counts.adopted += u32::from(adopted.is_ok());
                 Ok(())
             }
             (Message::Answer { from, attempt, verdict }, _) => {
-                self.answer_arrives(from, attempt, verdict)
+                self.receive_answer(from, attempt, verdict)
             }
             (_, None) => Ok(()),
         }
     }
 
-    fn answer_arrives(&mut self, from: NodeId, attempt: AttemptId, verdict: Verdict) -> Checked {
+    fn receive_answer(&mut self, from: NodeId, attempt: AttemptId, verdict: Verdict) -> Checked {
         let index = self.request_of[&attempt];
         let sender = self.requests[index].sender;
         let from = match self.flaw {
@@ -276,7 +287,7 @@
             _ => from,
         };
         let Some(token) = self.senders[sender].2.take_answered(from, attempt) else {
-            self.tally.dropped_answers += 1;
+            self.counts.dropped_answers += 1;
             return Ok(());
         };
         let request = &mut self.requests[token.0 as usize];
@@ -284,27 +295,27 @@
         request.outcome.record(attempt, &verdict);
         let request = &self.requests[token.0 as usize];
         if let Verdict::Answered(answer) = &verdict {
-            if *answer != answer_of(request.root) {
-                self.broken(Rule::OwnAnswer)?;
+            if *answer != answer_of(request.key_index) {
+                self.violated(Invariant::OwnAnswer)?;
             }
         }
         let concluded = match self.flaw {
             Some(Flaw::LastRefusalWins) => verdict.clone(),
             _ => request.outcome.conclude(verdict.clone()),
         };
-        let told = match &concluded {
+        let reported = match &concluded {
             Verdict::Answered(_) => "answered".to_string(),
             Verdict::NotRun(refusal) => format!("not run: {:?}", refusal.reason),
             Verdict::MayHaveRun(doubt) => format!("may have run: {doubt:?}"),
         };
         let has_run = request.attempts.iter().any(|(sent, ..)| self.ran.contains(sent));
         if concluded.is_not_run() && has_run {
-            self.broken(Rule::RunOfRequestIsNotDenied)?;
+            self.violated(Invariant::RunOfRequestIsNotDenied)?;
         }
-        self.requests[token.0 as usize].told = Some(told);
+        self.requests[token.0 as usize].reported = Some(reported);
         let Verdict::NotRun(Refusal { reason, .. }) = verdict else {
-            // The caller of a doubtful request tries again, if it is not hopeless.
-            return self.try_again(token, verdict, key);
+            // The caller retries a request that may have run, within a limit on attempts.
+            return self.retry(token, verdict, key);
         };
         match reason {
             RefusalReason::KeyDelegated(to) => {
@@ -316,34 +327,34 @@
         Ok(())
     }
 
-    fn try_again(&mut self, token: CallToken, verdict: Verdict, key: Key) -> Checked {
+    fn retry(&mut self, token: CallToken, verdict: Verdict, key: Key) -> Checked {
         let index = token.0 as usize;
-        let is_doubted = matches!(verdict, Verdict::MayHaveRun(_));
-        if is_doubted && self.requests[index].attempts.len() < 3 {
+        let may_have_run = matches!(verdict, Verdict::MayHaveRun(_));
+        if may_have_run && self.requests[index].attempts.len() < 3 {
             self.attempt(index, key.owner, key);
         }
         Ok(())
     }
 }
 
-/// The answer that only the run of the key `root` gives.
-fn answer_of(root: usize) -> HttpAnswer {
-    let body = format!("run of key {root}").into_bytes().into();
+/// The answer that is unique to the run of the key `key_index`.
+fn answer_of(key_index: usize) -> HttpAnswer {
+    let body = format!("run of key {key_index}").into_bytes().into();
     HttpAnswer { status: 200, headers: Vec::new(), body }
 }
 
-/// Chooses one of `count` things.
+/// Maps `choice` to an index below `count`; `None` if `count` is 0.
 fn pick(choice: u8, count: usize) -> Option<usize> {
     (count > 0).then(|| usize::from(choice) % count.max(1))
 }
 
-/// Runs all steps and drains.
-pub fn play(flaw: Option<Flaw>, ops: &[Op]) -> Result<(Tally, Stated), Rule> {
+/// Runs all steps, drains the nodes and returns what was counted and the outcome.
+pub fn run_ops(flaw: Option<Flaw>, ops: &[Op]) -> Result<(EventCounts, RunOutcome), Invariant> {
     let mut world = World::new(flaw);
     for op in ops {
         world.step(*op)?;
     }
     world.drain()?;
-    let told_to_requests = world.requests.into_iter().map(|request| request.told).collect();
-    Ok((world.tally, Stated { runs_of_keys: world.runs, told_to_requests }))
+    let told_to_requests = world.requests.into_iter().map(|request| request.reported).collect();
+    Ok((world.counts, RunOutcome { runs_of_keys: world.runs, told_to_requests }))
 }
--- a/tests/once_world/node.rs
+++ b/tests/once_world/node.rs
@@ -1,4 +1,4 @@
-//! One node with what is queued and running there.
+//! A simulated node with its queued and running calls.
 
 use std::collections::HashSet;
 
@@ -11,9 +11,9 @@
 const SKEW_MAX_MS: u64 = 1_000;
 const MARGIN_US: u64 = 2_000_000;
 
-/// An attempt that holds a key.
+/// An attempt that may run its key: it is queued or running.
 #[derive(Clone, Copy, Debug)]
-pub struct Held {
+pub struct AdmittedAttempt {
     pub attempt: AttemptId,
     pub key: Key,
 }
@@ -22,8 +22,8 @@
     pub id: NodeId,
     pub ledger: Ledger,
     pub book: AttemptBook,
-    pub queue: Vec<Held>,
-    pub running: Vec<Held>,
+    pub queue: Vec<AdmittedAttempt>,
+    pub running: Vec<AdmittedAttempt>,
     pub seen: HashSet<AttemptId>,
     pub frozen: bool,
 }
--- a/tests/once_world/receiver.rs
+++ b/tests/once_world/receiver.rs
@@ -1,16 +1,16 @@
-//! What happens at a node.
+//! The receiving side of a simulated node: calls, fences, runs and verdicts.
 
 use aspenspring::call::{AttemptId, Doubt, Key, NodeId, Refusal, RefusalReason, Verdict};
 use aspenspring::once::{Arrival, FenceReply, Fingerprint, Offer, RefusalScope, ReturnPath};
 
-use super::node::Held;
-use super::{CALL_US, Checked, End, Flaw, Message, Rule, World, answer_of, pick};
+use super::node::AdmittedAttempt;
+use super::{CALL_US, Checked, End, Flaw, Invariant, Message, World, answer_of, pick};
 
 const REQUEST: Fingerprint = Fingerprint(1);
 const NO_PATH: ReturnPath = ReturnPath(0);
 
 impl World {
-    pub(super) fn arrive(&mut self, index: usize, attempt: AttemptId, key: Key) -> Checked {
+    pub(super) fn receive_call(&mut self, index: usize, attempt: AttemptId, key: Key) -> Checked {
         let (now_us, unix_ms, flaw) = (self.now_us, self.unix_ms(index), self.flaw);
         let node = &mut self.nodes[index];
         node.seen.insert(attempt);
@@ -19,47 +19,49 @@
             Arrival::InProgress => return Ok(()),
             Arrival::Repeat(verdict) => {
                 let is_forgotten = verdict == Verdict::MayHaveRun(Doubt::AnswerForgotten);
-                self.tally.forgotten_attempts += u32::from(is_forgotten);
-                return self.tell(index, attempt, verdict);
+                self.counts.forgotten_attempts += u32::from(is_forgotten);
+                return self.report(index, attempt, verdict);
             }
             Arrival::Refused(refusal) => {
-                self.tally.full_books += u32::from(refusal.reason == RefusalReason::NodeFull);
-                return self.tell(index, attempt, Verdict::NotRun(refusal));
+                self.counts.full_books += u32::from(refusal.reason == RefusalReason::NodeFull);
+                return self.report(index, attempt, Verdict::NotRun(refusal));
             }
         }
         if flaw == Some(Flaw::RefusesUnseen) && !node.queue.is_empty() {
             let refusal = Verdict::not_run(RefusalReason::QueueFull, 0);
             node.book.settle(now_us, attempt, &refusal);
-            return self.tell(index, attempt, refusal);
+            return self.report(index, attempt, refusal);
         }
         let offered = match flaw {
             Some(Flaw::RunsAnyKey) => Key { owner: node.id, ..key },
             _ => key,
         };
         match node.ledger.offer(unix_ms, offered, REQUEST, attempt) {
-            Offer::Run => node.queue.push(Held { attempt, key: offered }),
-            Offer::Joined => self.tally.joined += 1,
+            Offer::Run => node.queue.push(AdmittedAttempt { attempt, key: offered }),
+            Offer::Joined => self.counts.joined += 1,
             Offer::Settled(verdict) => {
                 node.book.settle(now_us, attempt, &verdict);
                 match &verdict {
-                    Verdict::Answered(_) => self.tally.recorded_answers += 1,
-                    Verdict::MayHaveRun(Doubt::KeyElsewhere) => self.tally.elsewhere += 1,
-                    Verdict::MayHaveRun(Doubt::KeyExpired) => self.tally.expired_keys += 1,
+                    Verdict::Answered(_) => self.counts.recorded_answers += 1,
+                    Verdict::MayHaveRun(Doubt::KeyElsewhere) => {
+                        self.counts.keys_held_elsewhere += 1
+                    }
+                    Verdict::MayHaveRun(Doubt::KeyExpired) => self.counts.expired_keys += 1,
                     Verdict::MayHaveRun(Doubt::AnswerForgotten) => {
-                        self.tally.answers_dropped_from_ledgers += 1;
+                        self.counts.answers_dropped_from_ledgers += 1;
                     }
                     Verdict::NotRun(Refusal { reason: RefusalReason::NodeFull, .. }) => {
-                        self.tally.full_ledgers += 1;
+                        self.counts.full_ledgers += 1;
                     }
                     _ => {}
                 }
-                return self.tell(index, attempt, verdict);
+                return self.report(index, attempt, verdict);
             }
         }
         Ok(())
     }
 
-    pub(super) fn fence_arrives(&mut self, index: usize, attempt: AttemptId) -> Checked {
+    pub(super) fn receive_fence(&mut self, index: usize, attempt: AttemptId) -> Checked {
         let node = &mut self.nodes[index];
         let has_no_tombstone = self.flaw == Some(Flaw::NoTombstone);
         let reply = match has_no_tombstone && !node.seen.contains(&attempt) {
@@ -68,10 +70,10 @@
         };
         match reply {
             FenceReply::InProgress => Ok(()),
-            FenceReply::Settled(verdict) => self.tell(index, attempt, verdict),
+            FenceReply::Settled(verdict) => self.report(index, attempt, verdict),
             FenceReply::NowFenced => {
-                self.tally.fenced += 1;
-                self.tell(index, attempt, Verdict::not_run(RefusalReason::Fenced, 0))
+                self.counts.fenced += 1;
+                self.report(index, attempt, Verdict::not_run(RefusalReason::Fenced, 0))
             }
         }
     }
@@ -83,21 +85,21 @@
         if node.frozen {
             return Ok(());
         }
-        let held = node.queue.remove(call);
-        node.running.push(held);
-        let is_inherited = held.key.owner != node.id;
-        self.tally.runs += 1;
-        self.tally.runs_of_inherited += u32::from(is_inherited);
-        self.ran.insert(held.attempt);
-        if self.told_not_run.contains(&held.attempt) {
-            self.broken(Rule::RefusedAttemptStaysRefused)?;
+        let admitted = node.queue.remove(call);
+        node.running.push(admitted);
+        let is_inherited = admitted.key.owner != node.id;
+        self.counts.runs += 1;
+        self.counts.runs_of_inherited += u32::from(is_inherited);
+        self.ran.insert(admitted.attempt);
+        if self.reported_not_run.contains(&admitted.attempt) {
+            self.violated(Invariant::RefusedAttemptStaysRefused)?;
         }
-        let root = self.root_of(held.attempt);
-        self.runs[root] += 1;
-        self.tally.runs_of_delegated += u32::from(held.key != self.keys[root]);
-        match self.runs[root] {
+        let key_index = self.key_index_of(admitted.attempt);
+        self.runs[key_index] += 1;
+        self.counts.runs_of_delegated += u32::from(admitted.key != self.keys[key_index]);
+        match self.runs[key_index] {
             1 => Ok(()),
-            _ => self.broken(Rule::OneRunOfKey),
+            _ => self.violated(Invariant::OneRunOfKey),
         }
     }
 
@@ -111,17 +113,17 @@
         if node.frozen {
             return Ok(());
         }
-        let Held { attempt, key } = node.queue.remove(call);
-        let mut told = vec![attempt];
-        told.extend(node.ledger.refused(key, attempt));
+        let AdmittedAttempt { attempt, key } = node.queue.remove(call);
+        let mut attempts = vec![attempt];
+        attempts.extend(node.ledger.refused(key, attempt));
         let mut reason = RefusalReason::Shed;
         if let Some(to) = to.filter(|to| *to != node.id) {
             if !is_remembered || node.ledger.delegate(unix_ms, key, to).is_ok() {
                 reason = RefusalReason::KeyDelegated(to);
-                self.tally.delegated += 1;
+                self.counts.delegated += 1;
             }
         }
-        self.settle_all(index, told, Verdict::not_run(reason, 0))
+        self.settle_all(index, attempts, Verdict::not_run(reason, 0))
     }
 
     pub(super) fn finish(&mut self, node: u8, call: u8, end: End) -> Checked {
@@ -131,61 +133,61 @@
         if node.frozen {
             return Ok(());
         }
-        let Held { attempt, key } = node.running.remove(call);
-        let root = self.root_of(attempt);
+        let AdmittedAttempt { attempt, key } = node.running.remove(call);
+        let key_index = self.key_index_of(attempt);
         let verdict = match end {
-            End::Answered => Verdict::Answered(answer_of(root)),
+            End::Answered => Verdict::Answered(answer_of(key_index)),
             End::Broke => Verdict::MayHaveRun(Doubt::TargetBroke),
             End::Declined => {
-                // The target did nothing, so this was no run.
-                self.runs[root] -= 1;
+                // The target declined before it did anything, so this does not count as a run.
+                self.runs[key_index] -= 1;
                 self.ran.remove(&attempt);
                 Verdict::not_run(RefusalReason::TargetDeclined, 0)
             }
         };
-        let mut told = vec![attempt];
-        told.extend(self.nodes[index].ledger.finished(key, attempt, &verdict));
-        self.settle_all(index, told, verdict)
+        let mut attempts = vec![attempt];
+        attempts.extend(self.nodes[index].ledger.finished(key, attempt, &verdict));
+        self.settle_all(index, attempts, verdict)
     }
 
-    /// The key that the request of `attempt` was made with, before any delegation.
-    fn root_of(&self, attempt: AttemptId) -> usize {
-        self.requests[self.request_of[&attempt]].root
+    /// The index of the key of the request of `attempt`, before any delegation.
+    fn key_index_of(&self, attempt: AttemptId) -> usize {
+        self.requests[self.request_of[&attempt]].key_index
     }
 
-    /// The node life that `attempt` was sent to.
+    /// The incarnation that `attempt` was sent to.
     pub(super) fn sent_to(&self, attempt: AttemptId) -> NodeId {
         let request = &self.requests[self.request_of[&attempt]];
         let (_, to, _) = request.attempts.iter().find(|(sent, ..)| *sent == attempt).unwrap();
         *to
     }
 
-    fn settle_all(&mut self, index: usize, told: Vec<AttemptId>, verdict: Verdict) -> Checked {
-        for attempt in told {
+    fn settle_all(&mut self, index: usize, attempts: Vec<AttemptId>, verdict: Verdict) -> Checked {
+        for attempt in attempts {
             self.nodes[index].book.settle(self.now_us, attempt, &verdict);
-            self.tell(index, attempt, verdict.clone())?;
+            self.report(index, attempt, verdict.clone())?;
         }
         Ok(())
     }
 
-    /// A node tells what became of an attempt.
-    fn tell(&mut self, index: usize, attempt: AttemptId, verdict: Verdict) -> Checked {
+    /// Sends the verdict of an attempt to its sender.
+    fn report(&mut self, index: usize, attempt: AttemptId, verdict: Verdict) -> Checked {
         let from = self.nodes[index].id;
-        // What a node says of an attempt that was sent to an earlier life counts for nothing.
+        // The verdict of a node on an attempt that was sent to another incarnation is not binding.
         let is_addressee = self.sent_to(attempt) == from;
         if let Verdict::NotRun(Refusal { reason, .. }) = verdict
             && is_addressee
         {
             if self.ran.contains(&attempt) {
-                self.broken(Rule::RunIsNotDenied)?;
+                self.violated(Invariant::RunIsNotDenied)?;
             }
-            // A repeated verdict is as old as the decision, and the key may have run since.
-            let is_decision = self.told_not_run.insert(attempt);
+            // A repeated verdict refers to the time of the decision; the key may have run since.
+            let is_decision = self.reported_not_run.insert(attempt);
             let request = &self.requests[self.request_of[&attempt]];
             if is_decision && RefusalScope::of(reason, true) == RefusalScope::Key {
-                self.tally.keys_refused += 1;
-                if self.runs[request.root] > 0 {
-                    self.broken(Rule::RunOfKeyIsNotDenied)?;
+                self.counts.keys_refused += 1;
+                if self.runs[request.key_index] > 0 {
+                    self.violated(Invariant::RunOfKeyIsNotDenied)?;
                 }
             }
         }
--- a/tests/once_world/step.rs
+++ b/tests/once_world/step.rs
@@ -1,4 +1,4 @@
-//! The steps of a run, what can be taken away, what must hold, and what comes out.
+//! The steps, flaws, invariants and outcomes of a simulation.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,34 +10,35 @@
     Declined,
 }
 
-/// One step. Numbers choose among what there is, modulo its count.
+/// One step. A number selects one of the existing items, modulo their count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Op {
-    /// A key is minted for a node.
+    /// A node mints a key for a caller.
     Mint { node: u8 },
-    /// A key for one request is minted for a node.
+    /// A node mints a key for one request.
     MintForRequest { node: u8 },
-    /// A sender makes a request with a key, to its owner (0) or to another node.
+    /// A sender makes a request with a key. It goes to the key's owner if `astray` is 0, else to the
+    /// node that `astray` selects.
     Send { sender: u8, key: u8, astray: u8 },
-    /// A message arrives and, if doubled, stays on its way as well.
+    /// A message is delivered; if `doubled`, a copy stays in flight.
     Deliver { message: u8, doubled: bool },
     /// A message is lost.
     Lose { message: u8 },
-    /// A queued call begins at the target.
+    /// A queued call starts to run at the target.
     Start { node: u8, call: u8 },
     /// A queued call is refused.
     Refuse { node: u8, call: u8 },
-    /// A queued call is refused and its key delegated.
+    /// A queued call is refused and its key is delegated.
     Delegate { node: u8, call: u8, to: u8 },
     /// A run ends.
     Finish { node: u8, call: u8, end: End },
     /// A sender fences an attempt.
     Fence { attempt: u8 },
-    /// A node is replaced by an empty one.
+    /// A node is replaced by one with no state.
     Crash { node: u8 },
-    /// A node stops deciding anything, or goes on.
+    /// A node is paused or resumed.
     Freeze { node: u8, frozen: bool },
-    /// A node hands its ledger over and answers from then on as one that left.
+    /// A node hands its ledger over to another node and runs no keys afterwards.
     Leave {
         node: u8,
         #[serde(rename = "heir")]
@@ -45,102 +46,102 @@
     },
     /// Time passes.
     Wait { ms: u16 },
-    /// A node forgets what it may.
+    /// A node removes its expired keys and attempts.
     Expire { node: u8 },
 }
 
-/// A mechanism that is taken away, to see the rules broken.
+/// A disabled mechanism, to show that an invariant is violated without it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Flaw {
-    /// A restarted node takes its old identity, and with it its keys.
+    /// A restarted node keeps its old identity, and with it its keys.
     SameIdentity,
-    /// The heir is given the keyspace without what is known of it.
+    /// The successor takes over the keyspace without its recorded keys.
     EmptyHandover,
-    /// The leaver goes on running keys after the handover.
+    /// A leaving node continues to run keys after the handover.
     OpenAfterHandover,
-    /// The owner does not remember a delegation.
+    /// The owner does not record a delegation.
     ForgottenDelegation,
-    /// The ledger forgets without a horizon.
+    /// The ledger removes keys without a horizon.
     LedgerForgets,
-    /// The attempt book forgets without watermarks.
+    /// The attempt table removes attempts without watermarks.
     BookForgets,
-    /// A fence is confirmed without a tombstone.
+    /// A fence is confirmed without a record that the attempt is fenced.
     NoTombstone,
     /// A node runs keys of other owners.
     RunsAnyKey,
-    /// A node refuses before it asks its ledger.
+    /// A node refuses a call before it checks its ledger.
     RefusesUnseen,
-    /// A sender takes the last refusal for the verdict of the whole request.
+    /// A sender uses the last refusal as the verdict of the whole request.
     LastRefusalWins,
-    /// A sender takes the word of a node that was restarted since the attempt was sent.
+    /// A sender accepts a verdict from another incarnation than the one the attempt was sent to.
     AnyLifeMayAnswer,
-    /// Calls that waited in a lost connection go out on the next one, to another life.
+    /// Calls queued on a lost connection are sent on the next one, to another incarnation.
     CallsOutliveConnections,
 }
 
-/// What must hold.
+/// The invariants that are checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Rule {
+pub enum Invariant {
     /// A key runs at most once.
     OneRunOfKey,
-    /// An attempt that was told "not run" does not run afterwards.
+    /// An attempt that was reported "not run" does not run later.
     RefusedAttemptStaysRefused,
-    /// An attempt that ran is not told "not run".
+    /// An attempt that ran is not reported "not run".
     RunIsNotDenied,
-    /// The holder of a key that ran does not say that no request with the key had run.
+    /// The holder of a key that ran does not report that no request with the key had run.
     RunOfKeyIsNotDenied,
-    /// A request of which an attempt ran is not told "not run".
+    /// A request of which an attempt ran is not reported "not run".
     RunOfRequestIsNotDenied,
-    /// An answer is that of the request's own key.
+    /// A request gets the answer of its own key.
     OwnAnswer,
     /// Every attempt that arrived gets a verdict.
     EveryAttemptIsSettled,
-    /// A handover can be read.
+    /// A handover can be decoded.
     HandoverIsReadable,
 }
 
 impl Flaw {
-    /// The rule that is broken without the mechanism.
-    pub fn breaks(self) -> Rule {
+    /// The invariant that is violated without the mechanism.
+    pub fn violates(self) -> Invariant {
         match self {
             Flaw::SameIdentity
             | Flaw::EmptyHandover
             | Flaw::OpenAfterHandover
             | Flaw::ForgottenDelegation
             | Flaw::LedgerForgets
-            | Flaw::RunsAnyKey => Rule::OneRunOfKey,
+            | Flaw::RunsAnyKey => Invariant::OneRunOfKey,
             Flaw::BookForgets | Flaw::NoTombstone | Flaw::CallsOutliveConnections => {
-                Rule::RefusedAttemptStaysRefused
+                Invariant::RefusedAttemptStaysRefused
             }
-            Flaw::RefusesUnseen => Rule::RunOfKeyIsNotDenied,
-            Flaw::LastRefusalWins | Flaw::AnyLifeMayAnswer => Rule::RunOfRequestIsNotDenied,
+            Flaw::RefusesUnseen => Invariant::RunOfKeyIsNotDenied,
+            Flaw::LastRefusalWins | Flaw::AnyLifeMayAnswer => Invariant::RunOfRequestIsNotDenied,
         }
     }
 }
 
-/// What came out of a run: how often each key ran, and what each request was told last.
+/// The outcome of the steps: how often each key ran, and the last verdict reported to each request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stated {
+pub struct RunOutcome {
     pub runs_of_keys: Vec<u32>,
     pub told_to_requests: Vec<Option<String>>,
 }
 
-/// Recorded steps with what they state.
+/// Recorded steps with their expected outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trace {
     /// Why the trace is kept.
     pub about: String,
-    /// The mechanism without which these steps break its rule, if it is kept for that.
+    /// The flaw with which the same steps violate an invariant, if the trace is kept for that.
     pub flaw: Option<Flaw>,
-    /// What comes out of the steps.
-    pub stated: Stated,
+    /// The expected outcome without a flaw.
+    pub stated: RunOutcome,
     /// The steps.
     pub ops: Vec<Op>,
 }
 
-/// How often each thing happened, to see that the rules were put to the test.
+/// How often each kind of event occurred, to check that the invariants were exercised.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct EventCounts {
     pub runs: u32,
     pub runs_of_delegated: u32,
     pub runs_of_inherited: u32,
@@ -155,6 +156,6 @@
     pub full_books: u32,
     pub answers_dropped_from_ledgers: u32,
     pub forgotten_attempts: u32,
-    pub elsewhere: u32,
+    pub keys_held_elsewhere: u32,
     pub dropped_answers: u32,
 }
