--- a/examples/once_cost.rs
+++ b/examples/once_cost.rs
@@ -1,4 +1,6 @@
-//! Measures what the ledger and the attempt book cost: `cargo run --release --example once_cost`.
+//! Measures the time and memory cost of the ledger and the attempt table.
+//!
+//! Run with `cargo run --release --example once_cost`; prints CSV.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::hint::black_box;
@@ -11,13 +13,13 @@
     ReturnPath,
 };
 
-/// Counts the bytes that are allocated now.
-struct Counting;
+/// An allocator that counts the allocated bytes.
+struct CountingAllocator;
 
 static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: every call is passed on to the system's allocator unchanged.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is forwarded to the system allocator unchanged.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATED_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
@@ -30,7 +32,7 @@
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 const OWNER: NodeId = NodeId(1);
 const START_UNIX_MS: u64 = 1_700_000_000_000;
@@ -58,22 +60,22 @@
     }
 }
 
-/// Spreads a counter over all bits.
-fn scramble(number: u64) -> u64 {
+/// Mixes the bits of a counter.
+fn mix_bits(number: u64) -> u64 {
     number.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
 
 fn key(number: u64) -> Key {
     let minted_unix_ms = START_UNIX_MS + number / 50;
-    Key::mint(OWNER, minted_unix_ms, scramble(number), KeyLifetime::Caller)
+    Key::mint(OWNER, minted_unix_ms, mix_bits(number), KeyLifetime::Caller)
 }
 
 fn fingerprint(number: u64) -> Fingerprint {
-    Fingerprint(scramble(number))
+    Fingerprint(mix_bits(number))
 }
 
 fn attempt(sequence: u64) -> AttemptId {
-    AttemptId { origin: NodeId(sequence % 100), sequence, nonce: scramble(sequence) as u32 }
+    AttemptId { origin: NodeId(sequence % 100), sequence, nonce: mix_bits(sequence) as u32 }
 }
 
 fn answer(keeps_answers: bool) -> Verdict {
@@ -86,7 +88,7 @@
     if keeps_answers { usize::MAX } else { 0 }
 }
 
-/// Offers and finishes the keys from `first` to `last`.
+/// Offers and finishes the keys from `first` up to but not including `last`.
 fn run_keys(ledger: &mut Ledger, first: u64, last: u64, keeps_answers: bool) {
     for number in first..last {
         let offer = ledger.offer(START_UNIX_MS, key(number), fingerprint(number), attempt(number));
@@ -106,16 +108,16 @@
     run_keys(&mut ledger, 0, entries, keeps_answers);
     let bytes = (ALLOCATED_BYTES.load(Ordering::Relaxed) - before_bytes) as u64 / entries;
     let approx = ledger.approx_bytes() as u64 / entries;
-    let begin = Instant::now();
+    let started = Instant::now();
     run_keys(&mut ledger, entries, entries + CALLS, keeps_answers);
-    let new_ns = begin.elapsed().as_nanos() as u64 / CALLS;
-    let begin = Instant::now();
+    let new_ns = started.elapsed().as_nanos() as u64 / CALLS;
+    let started = Instant::now();
     for number in 0..CALLS {
-        let known = scramble(number) % entries;
+        let known = mix_bits(number) % entries;
         let request = fingerprint(known);
         black_box(ledger.offer(START_UNIX_MS, key(known), request, attempt(number)));
     }
-    let repeat_ns = begin.elapsed().as_nanos() as u64 / CALLS;
+    let repeat_ns = started.elapsed().as_nanos() as u64 / CALLS;
     println!("ledger,{entries},{keeps_answers},{new_ns},{repeat_ns},{bytes},{approx}");
 }
 
@@ -125,20 +127,20 @@
         .answers_max_bytes(answers_max_bytes(keeps_answers))
         .build();
     let successor = NodeId(2);
-    let mut leaver = Ledger::new(OWNER, options);
-    run_keys(&mut leaver, 0, entries, keeps_answers);
-    let begin = Instant::now();
-    let encoded = leaver.hand_over(successor, usize::MAX).expect("nothing is running");
-    let hand_over_ms = begin.elapsed().as_millis();
-    let begin = Instant::now();
+    let mut leaving = Ledger::new(OWNER, options);
+    run_keys(&mut leaving, 0, entries, keeps_answers);
+    let started = Instant::now();
+    let encoded = leaving.hand_over(successor, usize::MAX).expect("nothing is running");
+    let hand_over_ms = started.elapsed().as_millis();
+    let started = Instant::now();
     let handover = Handover::decode(&encoded).expect("it was just encoded");
     Ledger::new(successor, options).adopt(START_UNIX_MS, handover).expect("the successor is empty");
-    let adopt_ms = begin.elapsed().as_millis();
+    let adopt_ms = started.elapsed().as_millis();
     let bytes = encoded.len() as u64 / entries;
     println!("handover,{entries},{keeps_answers},{hand_over_ms},{adopt_ms},{bytes}");
 }
 
-/// Lets the attempts from `first` to `last` arrive and settles them.
+/// Records and settles the attempts from `first` up to but not including `last`.
 fn run_attempts(book: &mut AttemptBook, first: u64, last: u64, keeps_answers: bool) {
     for number in first..last {
         let arrival = book.arrive(number, attempt(number), number, ReturnPath(number));
@@ -157,14 +159,14 @@
     run_attempts(&mut book, 0, entries, keeps_answers);
     let bytes = (ALLOCATED_BYTES.load(Ordering::Relaxed) - before_bytes) as u64 / entries;
     let approx = book.approx_bytes() as u64 / entries;
-    let begin = Instant::now();
+    let started = Instant::now();
     run_attempts(&mut book, entries, entries + CALLS, keeps_answers);
-    let new_ns = begin.elapsed().as_nanos() as u64 / CALLS;
-    let begin = Instant::now();
+    let new_ns = started.elapsed().as_nanos() as u64 / CALLS;
+    let started = Instant::now();
     for number in 0..CALLS {
-        let known = scramble(number) % entries;
+        let known = mix_bits(number) % entries;
         black_box(book.arrive(entries, attempt(known), entries, ReturnPath(0)));
     }
-    let repeat_ns = begin.elapsed().as_nanos() as u64 / CALLS;
+    let repeat_ns = started.elapsed().as_nanos() as u64 / CALLS;
     println!("book,{entries},{keeps_answers},{new_ns},{repeat_ns},{bytes},{approx}");
 }
