--- a/src/once/attempt_table.rs
+++ b/src/once/attempt_table.rs
@@ -32,8 +32,7 @@
     /// The maximum number of recorded sending nodes; beyond it, unknown ones are refused.
     #[builder(default = 16_384)]
     pub origins_max: usize,
-    /// How long an idle sending node is recorded, in microseconds. Must exceed the longest delay of a
-    /// frame.
+    /// How long an idle sending node is recorded, in microseconds. No frame may be delayed for longer.
     #[builder(default = 24 * 3_600 * US_PER_S)]
     pub origin_idle_us: u64,
     /// The maximum number of return paths of one attempt.
@@ -291,7 +290,7 @@
     }
 
     /// Removes the watermarks of sending nodes that have been idle for `origin_idle_us`. Scans all of
-    /// them, so call it no more than once a minute.
+    /// them; once a minute is often enough.
     pub fn expire_idle_origins(&mut self, now_us: u64) {
         let idle_us = self.options.origin_idle_us;
         self.watermarks
--- a/src/once/handover.rs
+++ b/src/once/handover.rs
@@ -42,7 +42,7 @@
 struct EntryRecord {
     /// The key within its keyspace.
     slot: Slot,
-    /// The first request with this key; unused for a delegated key.
+    /// The fingerprint of the first request with this key; unused for a delegated key.
     fingerprint: Fingerprint,
     /// The state of the key.
     state: SettledState,
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     ///
-    /// See `HandoverError`; the ledger then stays open.
+    /// See `HandoverError`; the ledger is then unchanged.
     pub fn hand_over(
         &mut self,
         successor: NodeId,
@@ -178,7 +178,7 @@
         if self.len() + added > self.options.entries_max {
             return Err(AdoptError::Full(added));
         }
-        // Answers are dropped from the front, so that the inherited ones are dropped first.
+        // The oldest answers, at the front, are dropped first, so the inherited ones go there.
         let own_answered = std::mem::take(&mut self.answered);
         for space in new {
             self.adopt_space(space);
--- a/src/once/in_flight.rs
+++ b/src/once/in_flight.rs
@@ -32,8 +32,8 @@
 
 /// Matches answers to calls by the attempt and the answering node.
 ///
-/// An answer is dropped if its attempt is not in flight or was sent to another node. An answer to any
-/// attempt of a call counts, also to an earlier one.
+/// An answer is dropped if its attempt is not in flight or was sent to another node. An answer to an
+/// earlier attempt of a call counts like one to the latest.
 #[derive(Debug, Default)]
 pub struct InFlightAttempts {
     /// The attempts in flight.
--- a/src/once/keyspace.rs
+++ b/src/once/keyspace.rs
@@ -65,7 +65,7 @@
 /// One recorded key.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
-    /// The first request with this key; unused for a delegated key.
+    /// The fingerprint of the first request with this key; unused for a delegated key.
     pub fingerprint: Fingerprint,
     /// The state of the key.
     pub state: KeyState,
