--- a/tests/mesh/main.rs
+++ b/tests/mesh/main.rs
@@ -1,4 +1,4 @@
-//! The call path: its decisions by themselves, and whole nodes on loopback with stand-in targets.
+//! The call path: single components, and whole nodes on loopback with simulated targets.
 
 mod callers;
 mod crashes;
--- a/tests/mesh/nodes.rs
+++ b/tests/mesh/nodes.rs
@@ -1,4 +1,4 @@
-//! Whole nodes: who gets a request, what the target sees, what the caller is told.
+//! Whole nodes: which target gets a request, what the target receives, and what the caller is told.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
         assert_eq!(header(&seen, "x-expected").as_deref(), Some("stock-1"));
         assert_eq!(header(&seen, "x-other").as_deref(), Some("kept"));
         let left_ms: u64 = header(&seen, "x-deadline").unwrap().parse().unwrap();
-        assert!(left_ms <= 900, "more time than is left: {left_ms}");
+        assert!(left_ms <= 900, "the forwarded deadline exceeds the caller's: {left_ms}");
         assert_eq!(entry.target.arrivals(), 0);
     });
 }
@@ -57,7 +57,7 @@
         let first = start("stock-1", "stock", vec![FAST]).await;
         let second = start("stock-2", "stock", vec![FAST]).await;
         acquaint(&first, &second).await;
-        // Enough for the budget to allow a repeat.
+        // Earns enough retry budget for a repeat.
         for number in 0..30 {
             ask(&first, &request("read", &format!("a{number}"))).await;
         }
@@ -129,7 +129,7 @@
         while entry.target.arrivals() < 31 {
             sleep(Duration::from_millis(1)).await;
         }
-        // The call that the target makes for it fails.
+        // An inner call of the target, made while it runs the request, fails.
         assert_eq!(status(&ask(&entry, &request("book", "b1.c1")).await), 502);
         let answer = read_message(&mut caller).await.unwrap();
         assert_eq!(status(&answer), 500);
@@ -194,7 +194,11 @@
         let entry = start("stock-1", "stock", vec![Reaction::Answer(503, 0)]).await;
         let answer = ask(&entry, &request("book", "a1")).await;
         assert_eq!(status(&answer), 502, "the target did not say that it had not run");
-        assert_eq!(header(&answer, "x-signature"), None, "another status than the target gave");
+        assert_eq!(
+            header(&answer, "x-signature"),
+            None,
+            "the status is not the one the target gave and signed"
+        );
     });
 }
 
@@ -208,7 +212,8 @@
         draining.state = TargetState::Draining;
         first.node.target.take_heartbeat(&draining);
         for number in 0..10 {
-            // The second node has not been told; the first one still refuses.
+            // The second node has not been told that the first target is draining; the first node
+            // refuses.
             for node in [&first, &second] {
                 let answer = ask(node, &request("book", &format!("a{number}"))).await;
                 assert_eq!(status(&answer), 200);
@@ -237,7 +242,10 @@
         assert_eq!(other.node.target.load().running, 0);
         assert_eq!(entry.node.in_flight.get(), 0);
         let scraped = other.node.metrics.render(&other.node);
-        assert!(!scraped.contains(r#"end="timeout""#), "it ended for its time only: {scraped}");
+        assert!(
+            !scraped.contains(r#"end="timeout""#),
+            "the call ended only by its timeout: {scraped}"
+        );
     });
 }
 
@@ -274,7 +282,10 @@
         let misdirect = Reaction::Misdirect("stock-1b".to_owned());
         let entry = start("stock-1", "stock", vec![misdirect, FAST]).await;
         assert_eq!(status(&ask(&entry, &request("book", "a1")).await), 503);
-        assert!(entry.node.target.current().is_none(), "the one that answered is not known");
+        assert!(
+            entry.node.target.current().is_none(),
+            "no heartbeat of the instance that answered is known"
+        );
         entry.node.target.take_heartbeat(&heartbeat("stock-1b", "stock", 1));
         assert_eq!(status(&ask(&entry, &request("book", "a2")).await), 200);
     });
@@ -287,7 +298,7 @@
         let other = start("stock-1", "stock", vec![FAST]).await;
         acquaint(&entry, &other).await;
         let peer = entry.node.directory.get(other.node.settings.listen.peers).unwrap();
-        // A link that is never quiet is never pinged.
+        // Calls keep the link busy, so it is never pinged, and the status must come without a ping.
         for number in 0.. {
             ask(&entry, &request("read", &format!("a{number}"))).await;
             if peer.status.borrow().roots.iter().any(|work| work.root == "read") {
@@ -303,10 +314,10 @@
         let first = start("page-1", "page", vec![FAST]).await;
         let address = unused_address();
         peers::meet(&first.node, address, "a");
-        // By now it tries again only every one or two seconds.
+        // By now the first node redials only every one or two seconds.
         sleep(Duration::from_millis(1_800)).await;
         let second = start_at(address.ip(), "stock-1", "stock", vec![FAST]).await;
         let linked = timeout(Duration::from_secs(1), acquaint(&second, &first)).await;
-        assert!(linked.is_ok(), "it waited for its next try");
+        assert!(linked.is_ok(), "the first node waited for its next redial");
     });
 }
--- a/tests/mesh/properties.rs
+++ b/tests/mesh/properties.rs
@@ -1,4 +1,4 @@
-//! What holds for any input.
+//! Properties of single components, checked for random inputs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 
 use super::support::route;
 
-/// Headers some of which come again and again, and some of which never do.
+/// Headers, some of which repeat often while others do not.
 fn headers() -> impl Strategy<Value = Vec<Header>> {
     let name = prop_oneof!["host", "x-[a-z]{1,3}", "[a-z]{90,120}"];
     let value = prop_oneof![vec(any::<u8>(), 0..120), Just(b"shop.test".to_vec())];
@@ -66,8 +66,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(8), ..ProptestConfig::default() })]
 
-    /// However a stream of frames is cut into reads, and however many words it makes both ends keep and
-    /// forget, the same frames come out.
+    /// Frames are decoded as they were sent, however the stream is split into reads and however
+    /// many words the tables of both ends keep and evict.
     #[test]
     fn frames_survive_any_cut(sent in vec(frames(), 1..60), cut in 1_usize..200) {
         let mut stream = BytesMut::new();
@@ -88,7 +88,7 @@
         prop_assert!(buffer.is_empty());
     }
 
-    /// Bytes that are no frame are an error or wait for more; they never end the process.
+    /// Bytes that are no valid frame cause an error or wait for more input, but never a panic.
     #[test]
     fn any_bytes_are_refused_or_wait(bytes in vec(any::<u8>(), 0..400)) {
         let mut buffer = BytesMut::from(&bytes[..]);
@@ -96,7 +96,8 @@
         while let Ok(Some(_)) = decoder.decode(&mut buffer) {}
     }
 
-    /// The share of each service never differs from its weight by more than one request for each.
+    /// The number of requests that a service gets differs from its share by at most one request for
+    /// each service.
     #[test]
     fn shares_hold_for_any_number_of_requests(weights in vec(1_u32..100, 2..5), count in 1_u32..600) {
         let mut route = route("split", "stock", RouteKind::Idempotent, 0);
@@ -105,18 +106,19 @@
             route.split.push(Share { service: format!("s{index}"), weight: *weight });
         }
         let splitter = Splitter::default();
-        let mut given = vec![0_u32; weights.len()];
+        let mut assigned = vec![0_u32; weights.len()];
         for _ in 0..count {
-            given[splitter.next(&route)] += 1;
+            assigned[splitter.next(&route)] += 1;
         }
         let total: u32 = weights.iter().sum();
-        for (given, weight) in given.iter().zip(&weights) {
-            let owed = f64::from(count) * f64::from(*weight) / f64::from(total);
-            prop_assert!((f64::from(*given) - owed).abs() <= weights.len() as f64);
+        for (assigned, weight) in assigned.iter().zip(&weights) {
+            let expected = f64::from(count) * f64::from(*weight) / f64::from(total);
+            prop_assert!((f64::from(*assigned) - expected).abs() <= weights.len() as f64);
         }
     }
 
-    /// Never do more requests run than there are slots, and none is lost, whatever comes and goes.
+    /// There are never more requests running than slots, and none is lost, whatever the order in
+    /// which requests arrive, end and are cancelled.
     #[test]
     fn the_queue_keeps_to_the_slots(steps in vec((0_u8..4, 0_u8..3), 1..120), slots in 1_u32..12) {
         let gate: Rc<Gate> = Rc::default();
@@ -134,15 +136,15 @@
                 3 if !waiting.is_empty() => drop(waiting.remove(0)),
                 _ => {}
             }
-            let mut still = Vec::new();
+            let mut still_waiting = Vec::new();
             for mut request in waiting {
                 match request.as_mut().now_or_never() {
                     Some(Ok(slot)) => running.push(slot),
                     Some(Err(_)) => {}
-                    None => still.push(request),
+                    None => still_waiting.push(request),
                 }
             }
-            waiting = still;
+            waiting = still_waiting;
             prop_assert!(running.len() as u32 <= limit);
             prop_assert_eq!(gate.load().running, running.len() as u32);
             prop_assert_eq!(gate.load().waiting, waiting.len() as u32);
@@ -150,9 +152,9 @@
         }
     }
 
-    /// Over a chain of four levels in which every failed call is repeated while a budget lasts, the
-    /// repeats that reach each level, made by repeated runs or chosen, keep to the share that is
-    /// allowed.
+    /// Failed calls are repeated, while the retry budget lasts, at each of four levels of a call
+    /// chain. At each level the repeats, including those made by runs that are repeats, stay within
+    /// the allowed share.
     #[test]
     fn repeats_of_repeats_keep_to_the_share(
         fanout in 1_u32..4,
@@ -163,7 +165,7 @@
         let share = 0.2;
         let budgets = RetryBudgets::new(&RetrySection { share, slack: 4 });
         let mut rng = SmallRng::seed_from_u64(seed);
-        // Whether each run of the level above was a repeat.
+        // Whether each run of the level above is a repeat.
         let mut runs = vec![false; requests as usize];
         let mut first = f64::from(requests);
         for level in 0..4 {
@@ -189,9 +191,9 @@
         }
     }
 
-    /// Whatever comes and fails, at any number of nodes, however unevenly: in no span of ten seconds are
-    /// more repeats sent than the share of what was asked for in it, in the span before it or in the one
-    /// half a span before it, and the slack.
+    /// For any number of nodes, any distribution of traffic and any failures: the repeats in a span
+    /// of ten seconds never exceed the slack plus the share of the requests in the largest of three
+    /// spans, that one, the one before and the one that begins half a span earlier.
     #[test]
     fn repeats_keep_to_the_share_in_every_span(
         nodes in prop_oneof![Just(2_usize), Just(16), Just(96), Just(300)],
@@ -200,7 +202,7 @@
         skew in 0.0..4.0_f64,
         seed in any::<u64>(),
     ) {
-        let sent = run_paused(play_repeats(nodes, &rates, &failing, skew, seed));
+        let sent = run_paused(simulate_repeats(nodes, &rates, &failing, skew, seed));
         for begin in 0..sent.len().saturating_sub(SPAN_STEPS) {
             let repeats: u32 = sent[begin..begin + SPAN_STEPS].iter().map(|step| step.repeats).sum();
             let begins = [begin, begin.saturating_sub(SPAN_STEPS), begin.saturating_sub(SPAN_STEPS / 2)];
@@ -216,8 +218,8 @@
         }
     }
 
-    /// What any number of nodes have left of a busy time while nothing failed, all of them may use at one
-    /// moment.
+    /// The budget that all nodes have left after a busy time without failures may be spent at one
+    /// moment, and still stays within the slack.
     #[test]
     fn what_is_saved_up_keeps_to_the_slack(nodes in 1_usize..400, seed in any::<u64>()) {
         let taken = run_paused(async move {
@@ -225,16 +227,16 @@
             let budgets: Vec<_> = (0..nodes)
                 .map(|_| RetryBudgets::new(&RetrySection { share: SHARE, slack: SLACK }))
                 .collect();
-            for of_node in &budgets {
+            for budget in &budgets {
                 for _ in 0..100 {
-                    of_node.earn("stock");
+                    budget.earn("stock");
                 }
             }
             advance(Duration::from_secs(10)).await;
             let mut taken = 0;
-            for of_node in &budgets {
+            for budget in &budgets {
                 for _ in 0..5 {
-                    taken += u32::from(of_node.try_take("stock", 0, nodes, &mut rng));
+                    taken += u32::from(budget.try_take("stock", 0, nodes, &mut rng));
                 }
             }
             taken
@@ -243,15 +245,15 @@
     }
 }
 
-/// The share of repeats that is allowed.
+/// The allowed repeats as a share of requests.
 const SHARE: f64 = 0.2;
-/// The repeats that are allowed beside it.
+/// The repeats allowed beyond that.
 const SLACK: u32 = 49;
-/// How far the clock goes at once.
+/// The time between two steps.
 const STEP: Duration = Duration::from_millis(250);
 /// The number of steps in ten seconds.
 const SPAN_STEPS: usize = 40;
-/// The number of steps for which each rate and each share of failures lasts.
+/// The number of steps in a phase, which has one rate and one share of failures.
 const PHASE_STEPS: usize = 32;
 
 /// What all nodes sent to a service in one step.
@@ -261,15 +263,16 @@
     repeats: u32,
 }
 
-/// Runs a test of something that goes by the clock.
+/// Runs a test on a paused clock, which the test advances.
 fn run_paused<T>(test: impl Future<Output = T>) -> T {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     builder.enable_time().start_paused(true).build().unwrap().block_on(test)
 }
 
-/// Plays nodes that send requests to a service in phases, each with a rate a second and node in the mean
-/// and with a share that fails. A node gets the more of them the smaller its number, by `skew`.
-async fn play_repeats(
+/// Simulates nodes that send requests to a service in phases. Each phase has a mean rate, in
+/// requests per second and node, and a share of failures. `skew` gives nodes with smaller numbers
+/// more of the requests.
+async fn simulate_repeats(
     nodes: usize,
     rates: &[f64],
     failing: &[f64],
@@ -286,14 +289,14 @@
     for (rate, failing) in rates.iter().zip(failing) {
         for _ in 0..PHASE_STEPS {
             let mut step = Sent::default();
-            for (of_node, weight) in budgets.iter().zip(&weights) {
+            for (budget, weight) in budgets.iter().zip(&weights) {
                 let mean = rate * STEP.as_secs_f64() * nodes as f64 * weight / total;
                 let count = mean as u32 + u32::from(rng.random_bool(mean.fract()));
                 for _ in 0..count {
-                    of_node.earn("stock");
+                    budget.earn("stock");
                     step.requests += 1;
-                    // Every attempt may fail, the repeats too.
-                    while rng.random_bool(*failing) && of_node.try_take("stock", 0, nodes, &mut rng)
+                    // Each attempt may fail, including repeats.
+                    while rng.random_bool(*failing) && budget.try_take("stock", 0, nodes, &mut rng)
                     {
                         step.repeats += 1;
                     }
--- a/tests/mesh/stop.rs
+++ b/tests/mesh/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nothing off.
+//! A planned stop cuts off no request that was accepted.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
             sleep(Duration::from_millis(5)).await;
         }
         entry.node.stop();
-        // Long enough that not all of it is read before the connection is closed.
+        // Large enough that a part is still unread when the connection is closed.
         let behind = format!(
             "GET /read/2 HTTP/1.1\r\nhost: shop.test\r\nx-attempt: a2\r\nx-pad: {}\r\n\r\n",
             "x".repeat(3_000)
@@ -33,8 +33,8 @@
         assert_eq!(header(&answer, "connection").as_deref(), Some("close"));
         let mut rest = [0; 1];
         let closed = caller.read(&mut rest).await;
-        assert_eq!(closed.expect("closed behind the answer, and not reset"), 0);
-        assert_eq!(entry.target.arrivals(), 1, "nothing behind it was passed on");
+        assert_eq!(closed.expect("closed after the answer, not reset"), 0);
+        assert_eq!(entry.target.arrivals(), 1, "no pipelined request was forwarded");
     });
 }
 
@@ -63,7 +63,11 @@
         acquaint(&entry, &leaving).await;
         leaving.node.stop();
         assert!(!leaving.node.is_ready());
-        assert_eq!(status(&ask(&entry, &request("book", "a1")).await), 200, "its target is there");
+        assert_eq!(
+            status(&ask(&entry, &request("book", "a1")).await),
+            200,
+            "its target still accepts calls"
+        );
         sleep(Duration::from_millis(GRACE_MS / 3 - 300)).await;
         let mut caller = connect(&entry).await;
         caller.write_all(request("book", "a2").as_bytes()).await.unwrap();
--- a/tests/mesh/support.rs
+++ b/tests/mesh/support.rs
@@ -1,4 +1,4 @@
-//! Whole nodes on loopback, each with a stand-in target that does what a test tells it.
+//! Whole nodes on loopback, each with a simulated target whose behaviour the test sets.
 
 use std::cell::{Cell, RefCell};
 use std::future::pending;
@@ -27,14 +27,14 @@
 use tokio::task::{JoinSet, LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// How long anything in these tests may take.
+/// The time limit of a test.
 pub const PATIENCE: Duration = Duration::from_secs(20);
-/// The port at which nodes listen for other nodes.
+/// The port on which nodes listen for peers.
 const PEERS_PORT: u16 = 7004;
-/// How long a stopping node may still run, in milliseconds.
+/// The stop grace of a node, in milliseconds.
 pub const GRACE_MS: u64 = 4_000;
 
-/// Runs a test in the one thread in which all tasks of its nodes run.
+/// Runs a test in one thread, together with all tasks of its nodes.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
@@ -42,8 +42,8 @@
     });
 }
 
-/// An address of this process alone: loopback has many, so ports need not be drawn.
-fn own_address() -> Ipv4Addr {
+/// A loopback address that no other node or test process uses, so that ports can be fixed.
+fn next_address() -> Ipv4Addr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
     let last = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -51,7 +51,7 @@
     Ipv4Addr::new(127, 1 + (process >> 8) as u8 % 250, process as u8, last)
 }
 
-/// The names of headers; not those of any platform.
+/// Header names that differ from those of any platform.
 pub fn vocabulary() -> Vocabulary {
     Vocabulary {
         attempt_id: HeaderName::from_static("x-attempt"),
@@ -83,7 +83,7 @@
     }
 }
 
-/// The test site: reads and bookings of the service `stock`.
+/// The test site: idempotent reads and at-most-once bookings of the service `stock`.
 pub fn site(version: u64) -> Site {
     let mut slow = route("hasty", "stock", RouteKind::AtMostOnce, 0);
     slow.timeout_ms = 300;
@@ -98,8 +98,8 @@
     Site::new(version, routes, Limits::default())
 }
 
-/// Reads a document of these tests: a version, and after it, apart by spaces, teams written as
-/// `name:key,key:requests a second:burst`. A route `open` needs no key.
+/// Parses a configuration document of these tests: a version, followed by teams separated by
+/// spaces, each as `name:key,key:requests a second:burst`. The route `open` needs no key.
 fn read_site(document: &[u8]) -> eyre::Result<Site> {
     let text = String::from_utf8_lossy(document);
     let mut words = text.split(' ');
@@ -121,47 +121,47 @@
     /// The node.
     pub node: Rc<Node>,
     /// Its target.
-    pub target: Rc<StandIn>,
+    pub target: Rc<SimulatedTarget>,
 }
 
-/// What a stand-in target does with a request.
+/// How a simulated target handles a request.
 #[derive(Clone, Debug)]
 pub enum Reaction {
-    /// Answers with this status and a body that names it, after a time in milliseconds.
+    /// Answers with this status and a body that names the target, after a time in milliseconds.
     Answer(u16, u64),
-    /// Answers at once, and once more just before its next answer on the connection.
+    /// Answers at once, and sends the answer again just before the next one on the connection.
     Twice,
-    /// Says that it did not run the request.
+    /// Reports that it did not run the request.
     Decline,
     /// Reads the request and closes the connection.
     Break,
-    /// Names another incarnation as the one that is here.
+    /// Reports that this other incarnation is at the address.
     Misdirect(String),
-    /// Ends after a time in milliseconds, with all that it runs, when it has begun on a request whose path
-    /// holds `CRASHES`; answers all others like `Answer`, after the second time in milliseconds.
+    /// Crashes with everything it runs, after a time in milliseconds, on a request whose path
+    /// contains `CRASHES`. Answers all others like `Answer`, after the second time in milliseconds.
     CrashOn(u64, u64),
 }
 
-/// What stands in the path of a request that ends the targets that begin to run it.
+/// Marks the path of a request that crashes the target that runs it.
 pub const CRASHES: &str = "crash";
-/// How long a target that has crashed is away.
-const DOWN: Duration = Duration::from_millis(150);
+/// How long a target is down after a crash.
+const RESTART_DELAY: Duration = Duration::from_millis(150);
 
-/// A stand-in target.
-pub struct StandIn {
-    /// Its name, which stands in its answers.
+/// A simulated target.
+pub struct SimulatedTarget {
+    /// Its name, which its answers contain.
     pub name: String,
-    /// What it does with the next requests; the last one stays.
+    /// How it handles the next requests; the last one is used for all further requests.
     pub reactions: RefCell<Vec<Reaction>>,
-    /// The requests that reached it, each with its whole head and body.
+    /// The requests that reached it, with head and body.
     pub seen: RefCell<Vec<String>>,
-    /// How many of them were cut off by the node before they were answered.
+    /// How many of them the node cancelled before they were answered.
     pub cut_off: Cell<usize>,
-    /// Ends the target that runs, which comes back after a while.
+    /// Crashes the target; it restarts after `RESTART_DELAY`.
     pub crash: Notify,
 }
 
-impl StandIn {
+impl SimulatedTarget {
     /// How many requests reached it.
     pub fn arrivals(&self) -> usize {
         self.seen.borrow().len()
@@ -175,15 +175,15 @@
 
 /// Starts a node of `service` whose target reacts with `reactions`.
 pub async fn start(name: &str, service: &str, reactions: Vec<Reaction>) -> TestNode {
-    start_at(own_address().into(), name, service, reactions).await
+    start_at(next_address().into(), name, service, reactions).await
 }
 
-/// Where other nodes will reach a node that is not there yet.
+/// The peer address of a node that is started later.
 pub fn unused_address() -> SocketAddr {
-    (own_address(), PEERS_PORT).into()
+    (next_address(), PEERS_PORT).into()
 }
 
-/// Starts a node at the given address of this machine.
+/// Starts a node at the given address.
 pub async fn start_at(ip: IpAddr, name: &str, service: &str, reactions: Vec<Reaction>) -> TestNode {
     let at = |port| SocketAddr::from((ip, port));
     let settings = MeshSettings {
@@ -208,7 +208,7 @@
         teams: TeamsSection::default(),
         log: LogSection::default(),
     };
-    let target = Rc::new(StandIn {
+    let target = Rc::new(SimulatedTarget {
         name: name.to_owned(),
         reactions: RefCell::new(reactions),
         seen: RefCell::default(),
@@ -221,12 +221,12 @@
     node.take_document(&"1".into(), "test").unwrap();
     node.has_looked_around.set(true);
     node.target.take_heartbeat(&heartbeat(name, service, 1));
-    let of_service = service.to_owned();
-    spawn_local(serve_target(Rc::clone(&node), of_service, Rc::clone(&target), listener));
+    let target_service = service.to_owned();
+    spawn_local(serve_target(Rc::clone(&node), target_service, Rc::clone(&target), listener));
     TestNode { node, target }
 }
 
-/// One life of a target.
+/// An incarnation of a target.
 pub fn incarnation(id: &str, started_unix_ms: u64) -> Incarnation {
     Incarnation { id: id.to_owned(), started_unix_ms }
 }
@@ -243,7 +243,7 @@
     }
 }
 
-/// Lets two nodes know each other, and waits until both can call.
+/// Links two nodes to each other, and waits until both can call.
 pub async fn acquaint(first: &TestNode, second: &TestNode) {
     peers::meet(&first.node, second.node.settings.listen.peers, "a");
     loop {
@@ -258,11 +258,11 @@
     }
 }
 
-/// Runs a target, one life after the other.
+/// Runs a target, and restarts it after each crash.
 async fn serve_target(
     node: Rc<Node>,
     service: String,
-    target: Rc<StandIn>,
+    target: Rc<SimulatedTarget>,
     mut listener: TcpListener,
 ) {
     for life in 2.. {
@@ -279,15 +279,15 @@
         let address = listener.local_addr().unwrap();
         drop(listener);
         connections.shutdown().await;
-        sleep(DOWN).await;
+        sleep(RESTART_DELAY).await;
         listener = TcpListener::bind(address).await.unwrap();
         let instance = format!("{}-life-{life}", target.name);
         node.target.take_heartbeat(&heartbeat(&instance, &service, 1));
     }
 }
 
-async fn serve_target_connection(target: Rc<StandIn>, mut stream: TcpStream) {
-    let mut owed = String::new();
+async fn serve_target_connection(target: Rc<SimulatedTarget>, mut stream: TcpStream) {
+    let mut duplicate = String::new();
     while let Some(request) = read_message(&mut stream).await {
         let id = header(&request, "x-attempt").unwrap_or_default();
         let crashes = request.lines().next().is_some_and(|line| line.contains(CRASHES));
@@ -326,17 +326,17 @@
                  content-length: 0\r\n\r\n"
             ),
         };
-        let written = std::mem::take(&mut owed) + &answer;
+        let written = std::mem::take(&mut duplicate) + &answer;
         if stream.write_all(written.as_bytes()).await.is_err() {
             return;
         }
         if matches!(reaction, Reaction::Twice) {
-            owed = answer;
+            duplicate = answer;
         }
     }
 }
 
-/// A whole answer of a target.
+/// The answer of a target with head and body.
 fn answer_of(status: u16, id: &str, name: &str, length: usize) -> String {
     format!(
         "HTTP/1.1 {status} X\r\nx-attempt: {id}\r\nx-signature: {name}\r\n\
@@ -344,7 +344,7 @@
     )
 }
 
-/// Reads one message with a body of stated length; none at the end of the stream.
+/// Reads one message whose body length is stated; `None` at the end of the stream.
 pub async fn read_message(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     loop {
@@ -377,17 +377,17 @@
     message.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
 }
 
-/// Connects to a node as a caller.
+/// Opens a connection to a node as a caller.
 pub async fn connect(node: &TestNode) -> TcpStream {
     TcpStream::connect(node.node.settings.listen.callers).await.unwrap()
 }
 
-/// A request of a caller.
+/// The text of a caller's request.
 pub fn request(route: &str, id: &str) -> String {
     format!("GET /{route}/1 HTTP/1.1\r\nhost: shop.test\r\nx-attempt: {id}\r\n\r\n")
 }
 
-/// Sends a request over a connection of its own and gives the answer.
+/// Sends a request on a new connection and returns the answer.
 pub async fn ask(node: &TestNode, request: &str) -> String {
     let mut stream = connect(node).await;
     stream.write_all(request.as_bytes()).await.unwrap();
