--- a/src/mesh/vocabulary.rs
+++ b/src/mesh/header_names.rs
@@ -4,7 +4,7 @@
 
 /// The names of headers by their meaning.
 #[derive(Clone, Debug)]
-pub struct Vocabulary {
+pub struct HeaderNames {
     /// The id of one attempt of a caller; targets repeat it in their answers.
     pub attempt_id: HeaderName,
     /// The time left until the sender gives up, in milliseconds.
--- a/src/mesh/ingress.rs
+++ b/src/mesh/ingress.rs
@@ -155,7 +155,7 @@
     let Some(route) = site.route(host, parts.uri.path()) else {
         return plain(StatusCode::NOT_FOUND);
     };
-    let attempt_id = header_text(&parts.headers, &node.vocabulary.attempt_id);
+    let attempt_id = header_text(&parts.headers, &node.header_names.attempt_id);
     let parent = node.ancestry.parent(attempt_id);
     let root = parent.as_ref().map_or(&route.name, |parent| &parent.root).clone();
     let answering = Answering::new(node, caller, attempt_id, &root, arrived);
@@ -173,7 +173,7 @@
             return response;
         }
     };
-    let caller_ms = header_number(&parts.headers, &node.vocabulary.deadline_ms);
+    let caller_ms = header_number(&parts.headers, &node.header_names.deadline_ms);
     let wait_ms = caller_ms.map_or(route.timeout_ms, |caller_ms| caller_ms.min(route.timeout_ms));
     let deadline = arrived + Duration::from_millis(wait_ms);
     let deadline = parent.as_ref().map_or(deadline, |parent| parent.deadline.min(deadline));
@@ -204,7 +204,7 @@
     }
     let mut response = response_to(&outcome);
     if let (Outcome::Answered(_), Ok(id)) = (&outcome, HeaderValue::from_str(attempt_id)) {
-        response.headers_mut().insert(node.vocabulary.attempt_id.clone(), id);
+        response.headers_mut().insert(node.header_names.attempt_id.clone(), id);
     }
     let status = response.status().as_u16();
     let ended = Ended { attempt_id, route: &route, root: &request.root, arrived, status };
@@ -277,7 +277,7 @@
     attempt_id: &str,
 ) -> Result<Entered, Refused> {
     let nobody: Rc<str> = Rc::default();
-    let holder = admission::holder(site, route, headers, &node.vocabulary.api_key);
+    let holder = admission::holder(site, route, headers, &node.header_names.api_key);
     let is_orphan = match &holder {
         Ok(Holder::Team(_)) => false,
         Ok(Holder::Anyone) => node.ancestry.was_withdrawn(attempt_id),
@@ -381,23 +381,23 @@
 
 /// The headers that travel on. The id of the attempt travels by itself.
 fn request_headers(node: &Node, headers: &HeaderMap) -> Vec<Header> {
-    let vocabulary = &node.vocabulary;
+    let header_names = &node.header_names;
     let named = named_by_connection(headers);
     let mut found = Vec::with_capacity(headers.len());
     for (name, value) in headers {
-        let is_replaced = *name == vocabulary.attempt_id
-            || *name == vocabulary.deadline_ms
-            || *name == vocabulary.expected_instance
-            || *name == vocabulary.calling_service
-            || *name == vocabulary.api_key
-            || *name == vocabulary.team;
+        let is_replaced = *name == header_names.attempt_id
+            || *name == header_names.deadline_ms
+            || *name == header_names.expected_instance
+            || *name == header_names.calling_service
+            || *name == header_names.api_key
+            || *name == header_names.team;
         if is_replaced || is_of_connection(name) || named.contains(name) {
             continue;
         }
         found.push(Header::new(name.as_str(), value.as_bytes()));
     }
     let calling = node.own_service();
-    found.push(Header::new(vocabulary.calling_service.as_str(), calling.as_bytes()));
+    found.push(Header::new(header_names.calling_service.as_str(), calling.as_bytes()));
     found
 }
 
--- a/src/mesh/node.rs
+++ b/src/mesh/node.rs
@@ -19,6 +19,7 @@
 use super::directory::Directory;
 use super::follower::StoreWatch;
 use super::frame::{Frame, Hello, RootWork, Status};
+use super::header_names::HeaderNames;
 use super::incarnation::Incarnation;
 use super::link::Link;
 use super::metrics::MeshMetrics;
@@ -30,7 +31,6 @@
 use super::target::{Heartbeat, Target};
 use super::teams::admission;
 use super::teams::quota::Quotas;
-use super::vocabulary::Vocabulary;
 
 /// How long a root route is reported after its last request reached the target.
 const ROOT_TTL: Duration = Duration::from_secs(20);
@@ -65,7 +65,7 @@
     /// The start-up settings.
     pub settings: MeshSettings,
     /// The names of the headers that the node reads and writes.
-    pub vocabulary: Vocabulary,
+    pub header_names: HeaderNames,
     /// The peers.
     pub directory: Directory,
     /// The target beside the node.
@@ -124,7 +124,7 @@
     /// Creates a node that knows only its settings.
     pub fn new(
         settings: MeshSettings,
-        vocabulary: Vocabulary,
+        header_names: HeaderNames,
         read_site: ReadSite,
         log: EventLog,
     ) -> Self {
@@ -161,7 +161,7 @@
             callers: Callers::new(&settings.node.failure_domain, settings.overload.policy),
             dialled: RefCell::default(),
             settings,
-            vocabulary,
+            header_names,
         }
     }
 
--- a/src/mesh/receiver.rs
+++ b/src/mesh/receiver.rs
@@ -185,7 +185,7 @@
     };
     let running = node.ancestry.run(&call.attempt_id, origin);
     let method = if call.method == "HEAD" { Method::HEAD } else { Method::GET };
-    let attempt_id = node.vocabulary.attempt_id.as_str();
+    let attempt_id = node.header_names.attempt_id.as_str();
     let is_mine = |reply: &Reply| reply.header(attempt_id) == Some(&call.attempt_id);
     let exchanged = connection.exchange(&method, &head, &call.body, is_mine);
     let reply = match timeout_at(deadline, exchanged).await {
@@ -229,9 +229,9 @@
 
 /// Classifies an answer of the target.
 fn classify_reply(node: &Node, reply: Reply, has_failed_below: bool) -> CallResult {
-    let vocabulary = &node.vocabulary;
+    let header_names = &node.header_names;
     if reply.status == http::StatusCode::MISDIRECTED_REQUEST.as_u16() {
-        let id = reply.header(vocabulary.instance_id.as_str());
+        let id = reply.header(header_names.instance_id.as_str());
         if id.is_some_and(|id| node.target.observe_instance(id)) {
             node.target_changed("other_incarnation");
         }
@@ -240,11 +240,11 @@
             detail: format!("another incarnation answered: {}", id.unwrap_or("unnamed")),
         };
     }
-    if reply.header(vocabulary.not_run.as_str()).is_some() {
+    if reply.header(header_names.not_run.as_str()).is_some() {
         return NotRun::Declined.into();
     }
     let is_success = (200..300).contains(&reply.status);
-    if is_success && reply.header(vocabulary.signature.as_str()).is_none() {
+    if is_success && reply.header(header_names.signature.as_str()).is_none() {
         return target_broke("successful answer without a signature".to_owned());
     }
     CallEnd::Answered(TargetAnswer {
@@ -259,7 +259,7 @@
 /// Builds the request head for the target.
 fn request_head(node: &Node, call: &Call, deadline: Instant, instance: &Instance) -> Bytes {
     let remaining_ms = deadline.saturating_duration_since(Instant::now()).as_millis();
-    let vocabulary = &node.vocabulary;
+    let header_names = &node.header_names;
     let mut head = BytesMut::with_capacity(HEAD_TYPICAL_BYTES);
     head.put_slice(call.method.as_bytes());
     head.put_slice(b" ");
@@ -269,15 +269,15 @@
         put_header(&mut head, &header.name, &header.value);
     }
     if !call.team.is_empty() {
-        put_header(&mut head, vocabulary.team.as_str(), call.team.as_bytes());
+        put_header(&mut head, header_names.team.as_str(), call.team.as_bytes());
     }
     if !call.attempt_id.is_empty() {
-        put_header(&mut head, vocabulary.attempt_id.as_str(), call.attempt_id.as_bytes());
+        put_header(&mut head, header_names.attempt_id.as_str(), call.attempt_id.as_bytes());
     }
-    put_header(&mut head, vocabulary.deadline_ms.as_str(), remaining_ms.to_string().as_bytes());
+    put_header(&mut head, header_names.deadline_ms.as_str(), remaining_ms.to_string().as_bytes());
     put_header(
         &mut head,
-        vocabulary.expected_instance.as_str(),
+        header_names.expected_instance.as_str(),
         instance.incarnation.id.as_bytes(),
     );
     let allows_no_body = matches!(call.method.as_str(), "GET" | "HEAD" | "DELETE" | "OPTIONS");
@@ -291,7 +291,7 @@
 
 /// The headers of an answer that are forwarded.
 fn answer_headers(node: &Node, reply: &Reply) -> Vec<Header> {
-    let not_forwarded = [node.vocabulary.load.as_str(), node.vocabulary.attempt_id.as_str()];
+    let not_forwarded = [node.header_names.load.as_str(), node.header_names.attempt_id.as_str()];
     let not_forwarded = CONNECTION_HEADERS.iter().chain(&not_forwarded).map(|name| name.as_bytes());
     let mut headers = Vec::with_capacity(reply.headers.len());
     for (name, value) in &reply.headers {
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -72,7 +72,7 @@
         version: env!("CARGO_PKG_VERSION"),
         address: mesh.listen.peers,
     });
-    let node = Rc::new(Node::new(mesh, names::vocabulary(), Box::new(read_document), log));
+    let node = Rc::new(Node::new(mesh, names::header_names(), Box::new(read_document), log));
     launch::start(&node).wrap_err("the node cannot listen")?;
     heartbeat::start(&node).wrap_err("the node cannot listen for its target")?;
     spawn_local(watch::watch_site(Rc::clone(&node), store.address));
--- a/src/platform/names.rs
+++ b/src/platform/names.rs
@@ -2,11 +2,11 @@
 
 use http::HeaderName;
 
-use crate::mesh::vocabulary::Vocabulary;
+use crate::mesh::header_names::HeaderNames;
 
 /// The headers by what they mean.
-pub fn vocabulary() -> Vocabulary {
-    Vocabulary {
+pub fn header_names() -> HeaderNames {
+    HeaderNames {
         attempt_id: HeaderName::from_static("attempt-id"),
         deadline_ms: HeaderName::from_static("deadline-milliseconds"),
         expected_instance: HeaderName::from_static("expected-instance"),
--- a/tests/mesh/support.rs
+++ b/tests/mesh/support.rs
@@ -8,6 +8,7 @@
 use std::time::Duration;
 
 use aspenspring::event::EventLog;
+use aspenspring::mesh::header_names::HeaderNames;
 use aspenspring::mesh::incarnation::Incarnation;
 use aspenspring::mesh::launch;
 use aspenspring::mesh::node::Node;
@@ -19,7 +20,6 @@
 use aspenspring::mesh::site::{Limits, Route, RouteKind, Share, Site};
 use aspenspring::mesh::target::{Heartbeat, TargetState};
 use aspenspring::mesh::teams::roster::{Quota, Roster, Team};
-use aspenspring::mesh::vocabulary::Vocabulary;
 use http::HeaderName;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -52,8 +52,8 @@
 }
 
 /// Header names that differ from those of any platform.
-pub fn vocabulary() -> Vocabulary {
-    Vocabulary {
+pub fn header_names() -> HeaderNames {
+    HeaderNames {
         attempt_id: HeaderName::from_static("x-attempt"),
         deadline_ms: HeaderName::from_static("x-deadline"),
         expected_instance: HeaderName::from_static("x-expected"),
@@ -216,7 +216,8 @@
         crash: Notify::new(),
     });
     let listener = TcpListener::bind(settings.target.address).await.unwrap();
-    let node = Rc::new(Node::new(settings, vocabulary(), Box::new(read_site), EventLog::discard()));
+    let node =
+        Rc::new(Node::new(settings, header_names(), Box::new(read_site), EventLog::discard()));
     launch::start(&node).unwrap();
     node.take_document(&"1".into(), "test").unwrap();
     node.has_looked_around.set(true);
