--- a/src/mesh/callers.rs
+++ b/src/mesh/callers.rs
@@ -9,10 +9,10 @@
 use super::frame::{Frame, Status};
 use super::link::Link;
 use super::overload::Policy;
-use super::report::{LoadReport, PAUSE_BUSY};
+use super::report::{INTERVAL_BUSY, LoadReport};
 
 /// The least pause between two reports of the whole state, unless the target comes or goes.
-const STATUS_PAUSE: Duration = PAUSE_BUSY;
+const STATUS_PAUSE: Duration = INTERVAL_BUSY;
 
 /// A link on which another node calls this one.
 #[derive(Debug)]
--- a/src/mesh/ingress.rs
+++ b/src/mesh/ingress.rs
@@ -27,7 +27,7 @@
 use super::sender::{self, Outcome, Request};
 use super::site::{Route, Site};
 use super::teams::admission::{self, Holder, NoHolder, OverQuota};
-use super::trail::{Answering, Ended, Trail, note_end};
+use super::trail::{Answering, EndedRequest, Trail, record_end};
 
 /// How much memory request bodies may take, as a share of what the node may use.
 const BODIES_SHARE: f64 = 0.25;
@@ -168,8 +168,8 @@
         Err(Refused { outcome, trail }) => {
             let response = response_to(&outcome);
             let status = response.status().as_u16();
-            let ended = Ended { attempt_id, route: &route, root: &root, arrived, status };
-            note_end(node, &ended, &outcome, &trail);
+            let ended = EndedRequest { attempt_id, route: &route, root: &root, arrived, status };
+            record_end(node, &ended, &outcome, &trail);
             return response;
         }
     };
@@ -207,8 +207,8 @@
         response.headers_mut().insert(node.header_names.attempt_id.clone(), id);
     }
     let status = response.status().as_u16();
-    let ended = Ended { attempt_id, route: &route, root: &request.root, arrived, status };
-    note_end(node, &ended, &outcome, &trail);
+    let ended = EndedRequest { attempt_id, route: &route, root: &request.root, arrived, status };
+    record_end(node, &ended, &outcome, &trail);
     answering.finish();
     response
 }
--- a/src/mesh/launch.rs
+++ b/src/mesh/launch.rs
@@ -19,7 +19,7 @@
 use crate::event::{EventLog, LogEvent};
 
 use super::node::Node;
-use super::overload::ADJUST_EVERY;
+use super::overload::ADJUST_INTERVAL;
 use super::{ingress, peers, socket};
 
 /// How long a stopping node goes on taking requests. Callers learn that it stops when they ask
@@ -71,7 +71,7 @@
     let adjusted = Rc::clone(node);
     spawn_local(async move {
         loop {
-            sleep(ADJUST_EVERY).await;
+            sleep(ADJUST_INTERVAL).await;
             adjusted.adjust();
         }
     });
--- a/src/mesh/levels.rs
+++ b/src/mesh/levels.rs
@@ -98,7 +98,7 @@
     }
 
     /// The probability with which a request of a caller on `route`, of the given rank, is admitted.
-    pub fn passing(&self, route: &Route, rank: u8) -> f64 {
+    pub fn admission_probability(&self, route: &Route, rank: u8) -> f64 {
         let by_level = self.level(route) - f64::from(rank);
         let reserved = self.by_root.borrow().get(&*route.name).map(|known| known.reserved);
         by_level.max(reserved.unwrap_or(0.0)).clamp(0.0, 1.0)
--- a/src/mesh/metrics.rs
+++ b/src/mesh/metrics.rs
@@ -155,7 +155,7 @@
                     &self.recorder,
                     || gauge!("aspenspring_mesh_admitted_share", "root" => name),
                 );
-                admitted.set(node.overload.passing(&route));
+                admitted.set(node.overload.admission_probability(&route));
             }
         }
         self.handle.run_upkeep();
--- a/src/mesh/node.rs
+++ b/src/mesh/node.rs
@@ -401,7 +401,7 @@
     fn log_admission(&self, site: &Site, services: &HashMap<String, ServiceView>) {
         let mut refused = self.shed_routes.borrow_mut();
         for route in site.routes() {
-            let probability = self.overload.passing(&route);
+            let probability = self.overload.admission_probability(&route);
             let is_refused = probability < 1.0;
             if refused.contains(&route.name) == is_refused {
                 continue;
--- a/src/mesh/overload.rs
+++ b/src/mesh/overload.rs
@@ -20,7 +20,7 @@
 use super::window::Window;
 
 /// How often admission is adjusted.
-pub const ADJUST_EVERY: Duration = Duration::from_millis(100);
+pub const ADJUST_INTERVAL: Duration = Duration::from_millis(100);
 /// How many requests an entry may have in flight for each slot in its fair share of a service,
 /// before it has measurements. More than one, as a request spends only a part of its time at each
 /// service.
@@ -107,7 +107,7 @@
     }
 
     /// The probability that a request of a caller on `route` is admitted.
-    pub fn passing(&self, route: &Route) -> f64 {
+    pub fn admission_probability(&self, route: &Route) -> f64 {
         self.admission_probability_at(route, route.rank)
     }
 
@@ -115,7 +115,7 @@
     pub fn admission_probability_at(&self, route: &Route, rank: u8) -> f64 {
         match self.policy {
             Policy::Open => 1.0,
-            Policy::Levels => self.levels.passing(route, rank),
+            Policy::Levels => self.levels.admission_probability(route, rank),
             Policy::Windows => {
                 self.tightest(route, rank, |probability, _| probability).unwrap_or(1.0)
             }
@@ -126,7 +126,9 @@
     pub fn limited_by(&self, route: &Route) -> Option<String> {
         match self.policy {
             Policy::Open => None,
-            Policy::Levels => self.levels.limited_by(route).filter(|_| self.passing(route) < 1.0),
+            Policy::Levels => {
+                self.levels.limited_by(route).filter(|_| self.admission_probability(route) < 1.0)
+            }
             Policy::Windows => {
                 let name =
                     |probability: f64, name: &str| (probability < 1.0).then(|| name.to_owned());
@@ -183,7 +185,7 @@
                 continue;
             }
             let in_flight = self.in_flight_through(window.roots());
-            let by_rank = window.passing(in_flight, rank);
+            let by_rank = window.admission_probability(in_flight, rank);
             let probability = by_rank.max(window.admission_probability_by_reserve(f64::from(own)));
             if tightest.is_none_or(|(least, _)| probability < least) {
                 tightest = Some((probability, service));
--- a/src/mesh/report.rs
+++ b/src/mesh/report.rs
@@ -13,7 +13,7 @@
 
 /// The minimum interval between reports while the target is busy. Half a queue can build up or
 /// drain in it.
-pub const PAUSE_BUSY: Duration = Duration::from_millis(180);
+pub const INTERVAL_BUSY: Duration = Duration::from_millis(180);
 /// The minimum interval between reports while the target has capacity: then no request is refused
 /// or rerouted because of a change.
 const INTERVAL_IDLE: Duration = Duration::from_millis(500);
@@ -44,10 +44,10 @@
         let (share, reported) = (utilisation(load), utilisation(self.load));
         let change = (share - reported).abs();
         if change >= CHANGE_URGENT || load.limit != self.load.limit {
-            return age >= PAUSE_BUSY;
+            return age >= INTERVAL_BUSY;
         }
         let interval = if share > BUSY_ABOVE {
-            PAUSE_BUSY
+            INTERVAL_BUSY
         } else if change >= CHANGE_MIN {
             INTERVAL_IDLE
         } else {
--- a/src/mesh/trail.rs
+++ b/src/mesh/trail.rs
@@ -36,7 +36,7 @@
 }
 
 /// A request that has its final answer.
-pub struct Ended<'a> {
+pub struct EndedRequest<'a> {
     /// The id of the caller's attempt.
     pub attempt_id: &'a str,
     /// The route of the request.
@@ -51,7 +51,7 @@
 
 /// Counts a request that has its final answer, and logs it unless it went well and is not in the
 /// sample.
-pub fn note_end(node: &Node, ended: &Ended<'_>, outcome: &Outcome, trail: &Trail) {
+pub fn record_end(node: &Node, ended: &EndedRequest<'_>, outcome: &Outcome, trail: &Trail) {
     let latency = ended.arrived.elapsed();
     let (verdict, reason) = outcome.names();
     node.metrics.record_request(ended.root, reason, latency.as_secs_f64());
@@ -79,7 +79,7 @@
         offered: offered.join(" "),
         arrivals: trail.arrivals,
         heard_ms: silent_ms(node, trail),
-        admitted_percent: (node.overload.passing(ended.route) * 100.0) as u32,
+        admitted_percent: (node.overload.admission_probability(ended.route) * 100.0) as u32,
         limited_by: node.overload.limited_by(ended.route).unwrap_or_default(),
         repeats_percent: (node.budgets.left(&trail.service) * 100.0) as u32,
         config_version: node.site_version(),
--- a/src/mesh/window.rs
+++ b/src/mesh/window.rs
@@ -163,7 +163,7 @@
     }
 
     /// The probability that a request of `rank` is admitted at this number of requests in flight.
-    pub fn passing(&self, in_flight: f64, rank: u8) -> f64 {
+    pub fn admission_probability(&self, in_flight: f64, rank: u8) -> f64 {
         let by_level = self.level.map_or(1.0, |level| level - f64::from(rank));
         by_level.min(self.bound(rank) - in_flight).clamp(0.0, 1.0)
     }
--- a/tests/emulator/mod.rs
+++ b/tests/emulator/mod.rs
@@ -13,7 +13,7 @@
 use aspenspring::mesh::directory::busy_share;
 use aspenspring::mesh::frame::Load;
 use aspenspring::mesh::gate::Gate;
-use aspenspring::mesh::overload::{ADJUST_EVERY, Overload, Policy, ServiceView};
+use aspenspring::mesh::overload::{ADJUST_INTERVAL, Overload, Policy, ServiceView};
 use aspenspring::mesh::site::{Route, RouteKind, Share};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -100,7 +100,7 @@
     pub runs: u64,
     /// Of them those of trees that failed.
     pub wasted_runs: u64,
-    /// The work of the busiest service as a share of its slots, each `ADJUST_EVERY`.
+    /// The work of the busiest service as a share of its slots, each `ADJUST_INTERVAL`.
     pub work: Vec<f64>,
 }
 
@@ -128,7 +128,7 @@
     /// How far the work of the busiest service swings between two seconds: the mean, and the standard
     /// deviation.
     pub fn swing(&self, from_s: f64, to_s: f64) -> (f64, f64) {
-        let index = |at_s: f64| (at_s / ADJUST_EVERY.as_secs_f64()) as usize;
+        let index = |at_s: f64| (at_s / ADJUST_INTERVAL.as_secs_f64()) as usize;
         let work = &self.work[index(from_s)..index(to_s).min(self.work.len())];
         let count = work.len().max(1) as f64;
         let mean = work.iter().sum::<f64>() / count;
@@ -325,7 +325,7 @@
 async fn adjust(world: Rc<World>) {
     let rank_max = world.scenario.kinds.iter().map(|kind| kind.rank).max().unwrap_or(0);
     loop {
-        sleep(ADJUST_EVERY).await;
+        sleep(ADJUST_INTERVAL).await;
         let mut busiest: f64 = 0.0;
         for view in world.views().values() {
             let work = f64::from(view.load.running + view.load.waiting);
--- a/tests/mesh/decisions.rs
+++ b/tests/mesh/decisions.rs
@@ -109,7 +109,9 @@
     for _ in 0..steps {
         overload.adjust(&services, 2, 1);
     }
-    let of = |name, rank| overload.passing(&route(name, "page", RouteKind::Idempotent, rank));
+    let of = |name, rank| {
+        overload.admission_probability(&route(name, "page", RouteKind::Idempotent, rank))
+    };
     [of("browse", 2), of("look", 1), of("confirm", 0)]
 }
 
@@ -125,7 +127,7 @@
     assert!(look < 1.0, "{look}");
     assert_eq!(confirm, 1.0);
     let upload = route("upload", "other", RouteKind::AtMostOnce, 2);
-    assert_eq!(overload.passing(&upload), 1.0, "it does not reach the busy service");
+    assert_eq!(overload.admission_probability(&upload), 1.0, "it does not reach the busy service");
     // Admission comes back once there is room.
     let [browse, ..] = passing(&overload, &view(20, 0, &[("browse", 20)]), 60);
     assert_eq!(browse, 1.0);
@@ -176,17 +178,21 @@
     for _ in 0..40 {
         overload.adjust(&calm, 2, 1);
     }
-    assert_eq!(overload.passing(&browse), 1.0);
+    assert_eq!(overload.admission_probability(&browse), 1.0);
     // Twice as many would fill the targets, and four times as many are asked for at once.
     for _ in 0..60 {
         held.extend(overload.admit(&browse, browse.rank, &mut rng));
     }
     // Some more than that pass, as so many are at once by chance.
     assert!((40..60).contains(&held.len()), "{}", held.len());
-    assert_eq!(overload.passing(&confirm), 1.0, "some room is left to the most important");
+    assert_eq!(
+        overload.admission_probability(&confirm),
+        1.0,
+        "some room is left to the most important"
+    );
     // What is admitted counts until it has its answer.
     held.truncate(20);
-    assert_eq!(overload.passing(&browse), 1.0);
+    assert_eq!(overload.admission_probability(&browse), 1.0);
 }
 
 #[test]
@@ -222,12 +228,15 @@
     for _ in 0..20 {
         overload.adjust(&overwhelmed, 0, 4);
     }
-    assert!(overload.passing(&browse) < 1.0, "a fair share is 50, and queues have grown for 2 s");
+    assert!(
+        overload.admission_probability(&browse) < 1.0,
+        "a fair share is 50, and queues have grown for 2 s"
+    );
     held.truncate(25);
     for _ in 0..10 {
         overload.adjust(&overwhelmed, 0, 4);
     }
-    assert_eq!(overload.passing(&browse), 0.0, "half of it is still too much");
+    assert_eq!(overload.admission_probability(&browse), 0.0, "half of it is still too much");
 }
 
 #[test]
@@ -246,7 +255,7 @@
             overload.adjust(&services, 2, 1);
         }
     }
-    assert!(overload.passing(&confirm) < 1.0, "the bound is full");
+    assert!(overload.admission_probability(&confirm) < 1.0, "the bound is full");
     let mut passed = Vec::new();
     for _ in 0..100 {
         passed.extend(overload.admit(&browse, browse.rank, &mut rng));
