--- a/src/mesh/blame.rs
+++ b/src/mesh/blame.rs
@@ -12,7 +12,7 @@
 
 /// Takes in that the target beside the node has ended with `running`, and tells all other nodes.
 pub fn note_crash(node: &Node, instance: &Instance, running: &[Broken]) {
-    if node.target.lose(&instance.incarnation) {
+    if node.target.mark_unavailable(&instance.incarnation) {
         node.target_changed("refused_connection");
     }
     let requests = running.iter().map(|broken| broken.fingerprint).collect();
@@ -34,7 +34,7 @@
 
 /// Takes in that a target beside another node has ended.
 pub fn take_crash(node: &Node, crash: &Crash) {
-    node.quarantine.take_crash(crash);
+    node.quarantine.apply_crash(crash);
     if let Some(held) = crash.held {
         report_held(node, held, String::new(), "peer");
     }
@@ -43,7 +43,7 @@
 /// Takes in what another node knows of requests, or what was written down.
 pub fn take_suspicions(node: &Node, suspicions: &[Suspicion], learned_from: &'static str) {
     for suspicion in suspicions {
-        if node.quarantine.take_suspicion(suspicion) {
+        if node.quarantine.apply_suspicion(suspicion) {
             report_held(node, suspicion.fingerprint, String::new(), learned_from);
         }
     }
--- a/src/mesh/callers.rs
+++ b/src/mesh/callers.rs
@@ -67,7 +67,7 @@
     /// are the numbers of targets of the service in the own failure domain and altogether.
     pub fn tell_what_is_due(&self, status: &Status, near: usize, all: usize) {
         if self.is_status_due(status) {
-            self.tell_status(status);
+            self.broadcast_status(status);
             return;
         }
         let now = Instant::now();
@@ -89,7 +89,7 @@
     }
 
     /// Tells all the whole state of the node.
-    pub fn tell_status(&self, status: &Status) {
+    pub fn broadcast_status(&self, status: &Status) {
         self.told_status_at.set(Some(Instant::now()));
         self.told_status.replace(status.clone());
         let frame = Frame::Status(status.clone());
--- a/src/mesh/ingress.rs
+++ b/src/mesh/ingress.rs
@@ -21,7 +21,7 @@
 use super::ancestry::Origin;
 use super::frame::{Doubt, Header, NotRun, TargetAnswer};
 use super::linger::{LingeringStream, PeerWatch};
-use super::node::{Counted, Node};
+use super::node::{CountGuard, Node};
 use super::overload::Admitted;
 use super::peers::pause_after;
 use super::sender::{self, Outcome, Request};
@@ -181,7 +181,7 @@
         Ok(body) => body,
         Err(response) => return response,
     };
-    let _held = Counted::new(&node.held_bytes, body.len());
+    let _held = CountGuard::new(&node.held_bytes, body.len());
     let request = Request {
         attempt_id: attempt_id.to_owned(),
         method: parts.method.to_string(),
--- a/src/mesh/node.rs
+++ b/src/mesh/node.rs
@@ -104,8 +104,9 @@
     pub log: EventLog,
     /// The metrics.
     pub metrics: MeshMetrics,
-    /// Whether discovery of peers has been attempted; the node is not ready before.
-    pub has_looked_around: Cell<bool>,
+    /// Whether the node has had time to link to its peers, or has given up on reading the list of
+    /// nodes; it is not ready before.
+    pub has_joined: Cell<bool>,
     /// Whether the list of all nodes has been read from the store.
     pub has_read_nodes: Cell<bool>,
     /// The state of the store, and this node's role in following it.
@@ -152,7 +153,7 @@
             held_bytes: Cell::default(),
             log,
             metrics: MeshMetrics::new(),
-            has_looked_around: Cell::default(),
+            has_joined: Cell::default(),
             has_read_nodes: Cell::default(),
             store_watch: StoreWatch::default(),
             active_site: RefCell::default(),
@@ -182,7 +183,7 @@
 
     /// Activates a configuration if it is newer than the active one. Returns whether it was
     /// activated.
-    pub fn take_document(
+    pub fn apply_document(
         &self,
         document: &Bytes,
         learned_from: &'static str,
@@ -203,14 +204,14 @@
     ///
     /// A heartbeat that names a service unknown to the configuration, or no slots, comes from a
     /// foreign target or is a mistake. It is rejected and leaves the state of the target unchanged.
-    pub fn take_heartbeat(&self, heartbeat: &Heartbeat) -> eyre::Result<()> {
+    pub fn apply_heartbeat(&self, heartbeat: &Heartbeat) -> eyre::Result<()> {
         if heartbeat.slots == 0 {
             bail!("the heartbeat states 0 slots");
         }
         if self.site().is_some_and(|site| !site.expects_service(&heartbeat.service)) {
             bail!("service {:?} is not in the configuration", heartbeat.service);
         }
-        if self.target.take_heartbeat(heartbeat) {
+        if self.target.apply_heartbeat(heartbeat) {
             self.target_changed("heartbeat");
         }
         Ok(())
@@ -218,7 +219,7 @@
 
     /// Whether the node accepts new requests of callers.
     pub fn is_ready(&self) -> bool {
-        !self.is_stopping() && self.has_looked_around.get() && self.site_version() > 0
+        !self.is_stopping() && self.has_joined.get() && self.site_version() > 0
     }
 
     /// Whether the node was told to stop.
@@ -249,7 +250,7 @@
     /// Begins to stop. `is_ready`, `takes_calls` and `is_closing` tell what is still accepted.
     pub fn stop(&self) {
         self.stopping_since.set(Some(Instant::now()));
-        self.tell_status();
+        self.broadcast_status();
     }
 
     /// The service of the target beside the node.
@@ -273,7 +274,7 @@
             learned_from,
             limit: self.target.load().limit,
         });
-        self.tell_status();
+        self.broadcast_status();
     }
 
     /// The status of the node, as sent to peers.
@@ -437,8 +438,8 @@
     }
 
     /// Sends the status of the node to all peers that call it.
-    pub fn tell_status(&self) {
-        self.callers.tell_status(&self.status());
+    pub fn broadcast_status(&self) {
+        self.callers.broadcast_status(&self.status());
     }
 
     /// The links that this node has dialled.
@@ -458,12 +459,12 @@
 }
 
 /// Adds an amount to a counter until dropped.
-pub struct Counted<'a> {
+pub struct CountGuard<'a> {
     counter: &'a Cell<usize>,
     amount: usize,
 }
 
-impl<'a> Counted<'a> {
+impl<'a> CountGuard<'a> {
     /// Adds `amount` to `counter` until dropped.
     pub fn new(counter: &'a Cell<usize>, amount: usize) -> Self {
         counter.set(counter.get() + amount);
@@ -471,7 +472,7 @@
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.counter.set(self.counter.get() - self.amount);
     }
--- a/src/mesh/peers.rs
+++ b/src/mesh/peers.rs
@@ -39,7 +39,7 @@
 const FORGET_AFTER: Duration = Duration::from_secs(120);
 
 /// Adds the node at `address` to the directory, and maintains a link to it.
-pub fn meet(node: &Rc<Node>, address: std::net::SocketAddr, failure_domain: &str) {
+pub fn add_peer(node: &Rc<Node>, address: std::net::SocketAddr, failure_domain: &str) {
     if let Some(peer) = node.directory.add(address, failure_domain) {
         spawn_local(maintain_link(Rc::clone(node), peer));
     }
@@ -96,7 +96,7 @@
         }
         Frame::Neighbours(neighbours) => {
             for neighbour in &neighbours {
-                meet(node, neighbour.address, &neighbour.failure_domain);
+                add_peer(node, neighbour.address, &neighbour.failure_domain);
             }
         }
         Frame::Answer { id, end, load } => {
@@ -114,7 +114,7 @@
         }
         Frame::Suspicions(suspicions) => blame::take_suspicions(node, &suspicions, "peer"),
         Frame::QuotaGranted { team, grant } => admission::take_answer(node, &link, team, grant),
-        Frame::Site { document } => match node.take_document(&document, "peer") {
+        Frame::Site { document } => match node.apply_document(&document, "peer") {
             Ok(_) => {}
             Err(error) => {
                 let detail = format!("{}: {error:#}", peer.address);
@@ -186,12 +186,12 @@
     let running: Rc<RefCell<HashMap<u64, AbortHandle>>> = Rc::default();
     let on_frame = |frame| match frame {
         Frame::Hello(hello) => {
-            meet(&node, hello.address, &hello.failure_domain);
+            add_peer(&node, hello.address, &hello.failure_domain);
             if let Some(peer) = node.directory.get(hello.address) {
                 peer.greeted.notify_waiters();
             }
             for incarnation in &hello.left_incarnations {
-                node.target.leave(incarnation);
+                node.target.mark_left(incarnation);
             }
             node.callers.add(&link, &hello.failure_domain);
             link.send(&Frame::Hello(node.hello(Vec::new())));
--- a/src/mesh/quarantine.rs
+++ b/src/mesh/quarantine.rs
@@ -171,7 +171,7 @@
         let mut suspects = requests.iter().filter(is_suspect);
         let likely_cause = suspects.next().copied().filter(|_| suspects.next().is_none());
         let crash = Crash { requests, held: likely_cause };
-        self.take_crash(&crash);
+        self.apply_crash(&crash);
         if let Some(held) = likely_cause {
             self.save(held);
         }
@@ -179,7 +179,7 @@
     }
 
     /// Applies a crash of a target beside this node or a peer.
-    pub fn take_crash(&self, crash: &Crash) {
+    pub fn apply_crash(&self, crash: &Crash) {
         let now = Instant::now();
         self.crashes_seen.set(self.crashes_seen.get() + 1);
         let mut records = self.records.borrow_mut();
@@ -222,7 +222,7 @@
 
     /// Applies a suspicion of a peer or one read from the store. Returns whether it put a new hold
     /// on the request.
-    pub fn take_suspicion(&self, suspicion: &Suspicion) -> bool {
+    pub fn apply_suspicion(&self, suspicion: &Suspicion) -> bool {
         let now = Instant::now();
         let mut records = self.records.borrow_mut();
         if records.len() >= RECORDS_MAX {
--- a/src/mesh/receiver.rs
+++ b/src/mesh/receiver.rs
@@ -22,7 +22,7 @@
 use super::frame::{Call, CallEnd, Doubt, Header, NotRun, TargetAnswer};
 use super::gate::GateError;
 use super::http1::{Connection, ExchangeError, Reply};
-use super::node::{Counted, Node};
+use super::node::{CountGuard, Node};
 use super::site::RouteKind;
 use super::target::Instance;
 
@@ -101,7 +101,7 @@
 
 /// Waits for a slot, and runs the call in it.
 async fn admit_and_run(node: &Rc<Node>, call: &Call, deadline: Instant) -> CallResult {
-    let _serving = Counted::new(&node.serving, 1);
+    let _serving = CountGuard::new(&node.serving, 1);
     if !node.takes_calls() {
         return NotRun::Leaving.into();
     }
@@ -157,7 +157,7 @@
 
 /// The result of a call when no connection to the target could be opened.
 fn connection_failed(node: &Node, instance: &Instance, error: &ExchangeError) -> CallResult {
-    if error.is_refused() && node.target.lose(&instance.incarnation) {
+    if error.is_refused() && node.target.mark_unavailable(&instance.incarnation) {
         node.target_changed("refused_connection");
     }
     CallResult { end: CallEnd::NotRun(NotRun::Unreachable), detail: error.to_string() }
--- a/src/mesh/sender.rs
+++ b/src/mesh/sender.rs
@@ -11,7 +11,7 @@
 use super::directory::{Destination, Wanted, busy_share};
 use super::fingerprint::Fingerprint;
 use super::frame::{Call, CallEnd, Doubt, Header, NotRun, TargetAnswer};
-use super::node::{Counted, Node};
+use super::node::{CountGuard, Node};
 use super::quarantine::Standing;
 use super::receiver;
 use super::site::{Route, RouteKind};
@@ -357,6 +357,6 @@
 }
 
 /// Counts a request of a caller as in flight until dropped.
-pub fn count(node: &Node) -> Counted<'_> {
-    Counted::new(&node.in_flight, 1)
+pub fn count(node: &Node) -> CountGuard<'_> {
+    CountGuard::new(&node.in_flight, 1)
 }
--- a/src/mesh/target.rs
+++ b/src/mesh/target.rs
@@ -107,10 +107,10 @@
     ///
     /// Ignored are heartbeats that arrive out of order, and those of an incarnation that has left
     /// or was followed by another one under the same id.
-    pub fn take_heartbeat(&self, heartbeat: &Heartbeat) -> bool {
+    pub fn apply_heartbeat(&self, heartbeat: &Heartbeat) -> bool {
         let incarnation = &heartbeat.incarnation;
         if heartbeat.state == TargetState::Draining {
-            return self.leave(incarnation);
+            return self.mark_left(incarnation);
         }
         if self.has_left(incarnation) || self.is_outdated(heartbeat) {
             return false;
@@ -150,7 +150,7 @@
         let Some(known) = last_heartbeats.get(id) else {
             drop(last_heartbeats);
             let current = self.current();
-            return current.is_some_and(|current| self.lose(&current.incarnation));
+            return current.is_some_and(|current| self.mark_unavailable(&current.incarnation));
         };
         let (instance, slots) = (Rc::clone(&known.instance), known.slots);
         drop(last_heartbeats);
@@ -159,7 +159,7 @@
 
     /// Stops giving work to an incarnation, and to earlier ones under the same id, for good.
     /// Returns whether the state has changed.
-    pub fn leave(&self, incarnation: &Incarnation) -> bool {
+    pub fn mark_left(&self, incarnation: &Incarnation) -> bool {
         let mut incarnation = incarnation.clone();
         if let Some(known) = self.last_heartbeats.borrow().get(&incarnation.id) {
             if incarnation.started_unix_ms == 0 {
@@ -177,12 +177,12 @@
             }
             left.push(incarnation.clone());
         }
-        self.lose(&incarnation)
+        self.mark_unavailable(&incarnation)
     }
 
     /// Stops giving work to an incarnation until its next heartbeat. Returns whether the state has
     /// changed.
-    pub fn lose(&self, incarnation: &Incarnation) -> bool {
+    pub fn mark_unavailable(&self, incarnation: &Incarnation) -> bool {
         let current = self.current();
         let is_current = current.is_some_and(|current| incarnation.ends(&current.incarnation));
         if is_current {
--- a/src/platform/heartbeat.rs
+++ b/src/platform/heartbeat.rs
@@ -105,7 +105,7 @@
     let farewell =
         if body.is_empty() { Farewell::default() } else { serde_json::from_slice(body)? };
     let incarnation = Incarnation { id: id.to_owned(), started_unix_ms: farewell.born };
-    if node.target.leave(&incarnation) {
+    if node.target.mark_left(&incarnation) {
         node.target_changed("farewell");
     }
     Ok(())
@@ -114,7 +114,7 @@
 /// Takes in a heartbeat.
 fn take(node: &Node, id: &str, body: &[u8]) -> eyre::Result<()> {
     let body: Body = serde_json::from_slice(body)?;
-    node.take_heartbeat(&heartbeat(id, body))
+    node.apply_heartbeat(&heartbeat(id, body))
 }
 
 fn heartbeat(id: &str, body: Body) -> Heartbeat {
--- a/src/platform/members.rs
+++ b/src/platform/members.rs
@@ -43,7 +43,7 @@
         let asked_ms = asked.elapsed().as_millis() as u64;
         node.log.emit(&LogEvent::StoreAway { store: "table", detail, asked_ms });
         if started.elapsed() > WITHOUT_STORE {
-            node.has_looked_around.set(true);
+            node.has_joined.set(true);
         }
         let spread = rand::rng().random_range(0.5..1.5);
         sleep_until(asked + pause.mul_f64(spread)).await;
@@ -52,7 +52,7 @@
     }
     node.has_read_nodes.set(true);
     sleep(ACQUAINT).await;
-    node.has_looked_around.set(true);
+    node.has_joined.set(true);
 }
 
 async fn announce(node: &Rc<Node>, store: &mut Store) -> eyre::Result<()> {
@@ -84,6 +84,6 @@
         return Ok(());
     }
     let failure_domain = String::from_utf8(row.value()?)?;
-    peers::meet(node, row.key.parse()?, &failure_domain);
+    peers::add_peer(node, row.key.parse()?, &failure_domain);
     Ok(())
 }
--- a/src/platform/watch.rs
+++ b/src/platform/watch.rs
@@ -84,7 +84,7 @@
 fn take_rows(node: &Rc<Node>, rows: &[Result<Row, String>]) {
     for row in rows {
         match take_row(node, row) {
-            Ok(true) => node.tell_status(),
+            Ok(true) => node.broadcast_status(),
             Ok(false) => {}
             Err(error) => {
                 let detail = format!("a row of {TABLE}: {error:#}");
@@ -100,5 +100,5 @@
     if row.key != KEY || row.deleted {
         return Ok(false);
     }
-    node.take_document(&Bytes::from(row.value()?), "table")
+    node.apply_document(&Bytes::from(row.value()?), "table")
 }
--- a/tests/mesh/callers.rs
+++ b/tests/mesh/callers.rs
@@ -8,7 +8,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::support::{
-    Reaction, TestNode, acquaint, ask, connect, read_message, request, run, start, status,
+    Reaction, TestNode, ask, connect, link_nodes, read_message, request, run, start, status,
 };
 
 const FAST: Reaction = Reaction::Answer(200, 0);
@@ -19,7 +19,7 @@
 async fn entry_and_target(run_ms: u64) -> (TestNode, TestNode) {
     let entry = start("page-1", "page", vec![FAST]).await;
     let other = start("stock-1", "stock", vec![Reaction::Answer(200, run_ms)]).await;
-    acquaint(&entry, &other).await;
+    link_nodes(&entry, &other).await;
     (entry, other)
 }
 
--- a/tests/mesh/crashes.rs
+++ b/tests/mesh/crashes.rs
@@ -9,7 +9,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::support::{CRASHES, Reaction, TestNode, acquaint, ask, request, run, start, status};
+use super::support::{CRASHES, Reaction, TestNode, ask, link_nodes, request, run, start, status};
 
 /// A target that ends 15 ms after it has begun on a request that crashes it; others take 5 ms.
 const CRASHABLE: Reaction = Reaction::CrashOn(15, 5);
@@ -28,7 +28,7 @@
     for name in names {
         let node = start(name, "stock", vec![CRASHABLE]).await;
         for known in &nodes {
-            acquaint(known, &node).await;
+            link_nodes(known, &node).await;
         }
         nodes.push(node);
     }
--- a/tests/mesh/links.rs
+++ b/tests/mesh/links.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::support::{
-    Reaction, acquaint, ask, incarnation, request, run, start, status, unused_address,
+    Reaction, ask, incarnation, link_nodes, request, run, start, status, unused_address,
 };
 
 /// How often a node looks whether a report is due.
@@ -139,9 +139,9 @@
         let answer = || vec![Reaction::Answer(200, 0)];
         let first = start("page-1", "page", answer()).await;
         let second = start("stock-1", "stock", answer()).await;
-        acquaint(&first, &second).await;
+        link_nodes(&first, &second).await;
         let third = start("page-2", "page", answer()).await;
-        peers::meet(&third.node, first.node.settings.listen.peers, "a");
+        peers::add_peer(&third.node, first.node.settings.listen.peers, "a");
         while third.node.directory.linked() < 2 || second.node.directory.linked() < 2 {
             sleep(Duration::from_millis(5)).await;
         }
@@ -179,7 +179,7 @@
         let incarnation = incarnation("stock-1", 0);
         let service = "stock".to_owned();
         let state = Status { service, incarnation, ready: true, load, ..Status::default() };
-        peers::meet(&entry.node, start_silent(state).await, "a");
+        peers::add_peer(&entry.node, start_silent(state).await, "a");
         while entry.node.directory.linked() == 0 {
             sleep(Duration::from_millis(5)).await;
         }
@@ -196,10 +196,10 @@
     run(async {
         let node = start("page-1", "page", vec![Reaction::Answer(200, 0)]).await;
         let state = Status { site_version: 9, ..Status::default() };
-        peers::meet(&node.node, start_silent(state).await, "a");
+        peers::add_peer(&node.node, start_silent(state).await, "a");
         let other = start("page-2", "page", vec![Reaction::Answer(200, 0)]).await;
-        other.node.take_document(&"5".into(), "test").unwrap();
-        peers::meet(&node.node, other.node.settings.listen.peers, "a");
+        other.node.apply_document(&"5".into(), "test").unwrap();
+        peers::add_peer(&node.node, other.node.settings.listen.peers, "a");
         while node.node.site_version() != 5 {
             sleep(Duration::from_millis(20)).await;
         }
--- a/tests/mesh/nodes.rs
+++ b/tests/mesh/nodes.rs
@@ -8,7 +8,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::support::{
-    Reaction, acquaint, ask, connect, header, heartbeat, read_message, request, run, start,
+    Reaction, ask, connect, header, heartbeat, link_nodes, read_message, request, run, start,
     start_at, status, unused_address,
 };
 
@@ -19,7 +19,7 @@
     run(async {
         let entry = start("page-1", "page", vec![FAST]).await;
         let other = start("stock-1", "stock", vec![FAST]).await;
-        acquaint(&entry, &other).await;
+        link_nodes(&entry, &other).await;
         let text = "POST /book/7?x=1 HTTP/1.1\r\nhost: shop.test\r\nx-attempt: a1\r\n\
                     x-calling: forged\r\nx-expected: forged\r\nx-other: kept\r\n\
                     x-deadline: 900\r\ncontent-length: 5\r\n\r\nhello";
@@ -56,7 +56,7 @@
     run(async {
         let first = start("stock-1", "stock", vec![FAST]).await;
         let second = start("stock-2", "stock", vec![FAST]).await;
-        acquaint(&first, &second).await;
+        link_nodes(&first, &second).await;
         // Earns enough retry budget for a repeat.
         for number in 0..30 {
             ask(&first, &request("read", &format!("a{number}"))).await;
@@ -74,7 +74,7 @@
     run(async {
         let first = start("stock-1", "stock", vec![FAST]).await;
         let second = start("stock-2", "stock", vec![FAST]).await;
-        acquaint(&first, &second).await;
+        link_nodes(&first, &second).await;
         for number in 0..60 {
             let answer = ask(&first, &request("read", &format!("a{number}"))).await;
             assert_eq!(status(&answer), 200);
@@ -145,8 +145,8 @@
         let entry = start("page-1", "page", vec![FAST]).await;
         let sound = start("stock-1", "stock", vec![FAST]).await;
         let failing = start("stock-2", "stock", vec![Reaction::Answer(500, 0)]).await;
-        acquaint(&entry, &sound).await;
-        acquaint(&entry, &failing).await;
+        link_nodes(&entry, &sound).await;
+        link_nodes(&entry, &failing).await;
         for number in 0..60 {
             ask(&entry, &request("book", &format!("a{number}"))).await;
         }
@@ -171,9 +171,9 @@
 fn an_older_configuration_never_replaces_a_newer_one() {
     run(async {
         let entry = start("stock-1", "stock", vec![FAST]).await;
-        assert!(entry.node.take_document(&"3".into(), "test").unwrap());
-        assert!(!entry.node.take_document(&"2".into(), "test").unwrap());
-        assert!(!entry.node.take_document(&"3".into(), "test").unwrap());
+        assert!(entry.node.apply_document(&"3".into(), "test").unwrap());
+        assert!(!entry.node.apply_document(&"2".into(), "test").unwrap());
+        assert!(!entry.node.apply_document(&"3".into(), "test").unwrap());
         assert_eq!(entry.node.site_version(), 3);
     });
 }
@@ -207,10 +207,10 @@
     run(async {
         let first = start("stock-1", "stock", vec![FAST]).await;
         let second = start("stock-2", "stock", vec![FAST]).await;
-        acquaint(&first, &second).await;
+        link_nodes(&first, &second).await;
         let mut draining = heartbeat("stock-1", "stock", 2);
         draining.state = TargetState::Draining;
-        first.node.target.take_heartbeat(&draining);
+        first.node.target.apply_heartbeat(&draining);
         for number in 0..10 {
             // The second node has not been told that the first target is draining; the first node
             // refuses.
@@ -229,7 +229,7 @@
     run(async {
         let entry = start("page-1", "page", vec![FAST]).await;
         let other = start("stock-1", "stock", vec![Reaction::Answer(200, 60_000)]).await;
-        acquaint(&entry, &other).await;
+        link_nodes(&entry, &other).await;
         let mut caller = connect(&entry).await;
         caller.write_all(request("read", "a1").as_bytes()).await.unwrap();
         while other.target.arrivals() == 0 {
@@ -286,7 +286,7 @@
             entry.node.target.current().is_none(),
             "no heartbeat of the instance that answered is known"
         );
-        entry.node.target.take_heartbeat(&heartbeat("stock-1b", "stock", 1));
+        entry.node.target.apply_heartbeat(&heartbeat("stock-1b", "stock", 1));
         assert_eq!(status(&ask(&entry, &request("book", "a2")).await), 200);
     });
 }
@@ -296,7 +296,7 @@
     run(async {
         let entry = start("page-1", "page", vec![FAST]).await;
         let other = start("stock-1", "stock", vec![FAST]).await;
-        acquaint(&entry, &other).await;
+        link_nodes(&entry, &other).await;
         let peer = entry.node.directory.get(other.node.settings.listen.peers).unwrap();
         // Calls keep the link busy, so it is never pinged, and the status must come without a ping.
         for number in 0.. {
@@ -313,11 +313,11 @@
     run(async {
         let first = start("page-1", "page", vec![FAST]).await;
         let address = unused_address();
-        peers::meet(&first.node, address, "a");
+        peers::add_peer(&first.node, address, "a");
         // By now the first node redials only every one or two seconds.
         sleep(Duration::from_millis(1_800)).await;
         let second = start_at(address.ip(), "stock-1", "stock", vec![FAST]).await;
-        let linked = timeout(Duration::from_secs(1), acquaint(&second, &first)).await;
+        let linked = timeout(Duration::from_secs(1), link_nodes(&second, &first)).await;
         assert!(linked.is_ok(), "the first node waited for its next redial");
     });
 }
--- a/tests/mesh/quarantine.rs
+++ b/tests/mesh/quarantine.rs
@@ -118,7 +118,7 @@
             let crash = self.nodes[index].note_crash(requests);
             for (other, node) in self.nodes.iter().enumerate() {
                 if other != index {
-                    node.take_crash(&crash);
+                    node.apply_crash(&crash);
                 }
             }
         }
@@ -270,8 +270,8 @@
     // A node that starts now is told, and holds the request back for as long.
     let other = Quarantine::default();
     for suspicion in node.suspicions() {
-        assert!(other.take_suspicion(&suspicion), "a new hold is reported");
-        assert!(!other.take_suspicion(&suspicion), "a known hold is reported as new");
+        assert!(other.apply_suspicion(&suspicion), "a new hold is reported");
+        assert!(!other.apply_suspicion(&suspicion), "a known hold is reported as new");
     }
     assert!(other.is_held(culprit));
     advance(second).await;
@@ -285,7 +285,7 @@
 #[tokio::test(start_paused = true)]
 async fn what_is_remembered_is_bounded() {
     let node = Quarantine::default();
-    node.take_suspicion(&Suspicion { fingerprint: fingerprint(CULPRIT), crashes: 3, holds: 2 });
+    node.apply_suspicion(&Suspicion { fingerprint: fingerprint(CULPRIT), crashes: 3, holds: 2 });
     for round in 0..40 {
         let requests = (round * 500..(round + 1) * 500).map(fingerprint).collect();
         node.note_crash(requests);
--- a/tests/mesh/stop.rs
+++ b/tests/mesh/stop.rs
@@ -6,7 +6,7 @@
 use tokio::time::sleep;
 
 use super::support::{
-    GRACE_MS, Reaction, acquaint, ask, connect, header, read_message, request, run, start, status,
+    GRACE_MS, Reaction, ask, connect, header, link_nodes, read_message, request, run, start, status,
 };
 
 #[test]
@@ -60,7 +60,7 @@
         let entry = start("page-1", "page", vec![Reaction::Answer(200, 0)]).await;
         let reactions = vec![Reaction::Answer(200, 0), Reaction::Answer(200, 600)];
         let leaving = start("stock-1", "stock", reactions).await;
-        acquaint(&entry, &leaving).await;
+        link_nodes(&entry, &leaving).await;
         leaving.node.stop();
         assert!(!leaving.node.is_ready());
         assert_eq!(
@@ -91,7 +91,7 @@
     run(async {
         let entry = start("page-1", "page", vec![Reaction::Answer(200, 0)]).await;
         let other = start("stock-1", "stock", vec![Reaction::Answer(200, 0)]).await;
-        acquaint(&entry, &other).await;
+        link_nodes(&entry, &other).await;
         entry.node.stop();
         assert_eq!(status(&ask(&entry, &request("read", "a0")).await), 200);
         sleep(Duration::from_millis(GRACE_MS / 2 + 50)).await;
--- a/tests/mesh/support.rs
+++ b/tests/mesh/support.rs
@@ -28,7 +28,7 @@
 use tokio::time::{sleep, timeout};
 
 /// The time limit of a test.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// The port on which nodes listen for peers.
 const PEERS_PORT: u16 = 7004;
 /// The stop grace of a node, in milliseconds.
@@ -38,7 +38,7 @@
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
-        timeout(PATIENCE, test).await.expect("the test took too long");
+        timeout(TEST_TIMEOUT, test).await.expect("the test took too long");
     });
 }
 
@@ -219,9 +219,9 @@
     let node =
         Rc::new(Node::new(settings, header_names(), Box::new(read_site), EventLog::discard()));
     launch::start(&node).unwrap();
-    node.take_document(&"1".into(), "test").unwrap();
-    node.has_looked_around.set(true);
-    node.target.take_heartbeat(&heartbeat(name, service, 1));
+    node.apply_document(&"1".into(), "test").unwrap();
+    node.has_joined.set(true);
+    node.target.apply_heartbeat(&heartbeat(name, service, 1));
     let target_service = service.to_owned();
     spawn_local(serve_target(Rc::clone(&node), target_service, Rc::clone(&target), listener));
     TestNode { node, target }
@@ -245,8 +245,8 @@
 }
 
 /// Links two nodes to each other, and waits until both can call.
-pub async fn acquaint(first: &TestNode, second: &TestNode) {
-    peers::meet(&first.node, second.node.settings.listen.peers, "a");
+pub async fn link_nodes(first: &TestNode, second: &TestNode) {
+    peers::add_peer(&first.node, second.node.settings.listen.peers, "a");
     loop {
         let is_linked = |from: &TestNode, to: &TestNode| {
             let peer = from.node.directory.get(to.node.settings.listen.peers);
@@ -283,7 +283,7 @@
         sleep(RESTART_DELAY).await;
         listener = TcpListener::bind(address).await.unwrap();
         let instance = format!("{}-life-{life}", target.name);
-        node.target.take_heartbeat(&heartbeat(&instance, &service, 1));
+        node.target.apply_heartbeat(&heartbeat(&instance, &service, 1));
     }
 }
 
--- a/tests/mesh/targets.rs
+++ b/tests/mesh/targets.rs
@@ -15,26 +15,26 @@
 #[test]
 fn a_heartbeat_that_was_overtaken_changes_nothing() {
     let target = target();
-    assert!(target.take_heartbeat(&heartbeat("one", "stock", 5)));
-    assert!(!target.take_heartbeat(&heartbeat("one", "page", 4)));
+    assert!(target.apply_heartbeat(&heartbeat("one", "stock", 5)));
+    assert!(!target.apply_heartbeat(&heartbeat("one", "page", 4)));
     assert_eq!(target.current().unwrap().service, "stock");
 }
 
 #[test]
 fn a_late_heartbeat_of_an_incarnation_that_is_gone_does_not_replace_the_present_one() {
     let target = target();
-    target.take_heartbeat(&heartbeat("old", "stock", 7));
-    target.take_heartbeat(&heartbeat("new", "page", 1));
-    assert!(!target.take_heartbeat(&heartbeat("old", "stock", 6)));
+    target.apply_heartbeat(&heartbeat("old", "stock", 7));
+    target.apply_heartbeat(&heartbeat("new", "page", 1));
+    assert!(!target.apply_heartbeat(&heartbeat("old", "stock", 6)));
     assert_eq!(current(&target).as_deref(), Some("new"));
 }
 
 #[test]
 fn the_incarnation_that_answers_is_the_one_to_go_by() {
     let target = target();
-    target.take_heartbeat(&heartbeat("new", "page", 1));
+    target.apply_heartbeat(&heartbeat("new", "page", 1));
     // Delayed since before this node started, so its sequence does not show that it is late.
-    target.take_heartbeat(&heartbeat("old", "stock", 7));
+    target.apply_heartbeat(&heartbeat("old", "stock", 7));
     assert_eq!(current(&target).as_deref(), Some("old"));
     assert!(target.observe_instance("new"));
     assert_eq!(current(&target).as_deref(), Some("new"));
@@ -45,15 +45,15 @@
 #[test]
 fn an_incarnation_that_has_left_never_comes_back() {
     let target = target();
-    target.take_heartbeat(&heartbeat("one", "stock", 1));
+    target.apply_heartbeat(&heartbeat("one", "stock", 1));
     let mut draining = heartbeat("one", "stock", 2);
     draining.state = TargetState::Draining;
-    assert!(target.take_heartbeat(&draining));
+    assert!(target.apply_heartbeat(&draining));
     assert_eq!(current(&target), None);
-    assert!(!target.take_heartbeat(&heartbeat("one", "stock", 3)));
-    assert!(target.take_heartbeat(&heartbeat("two", "stock", 1)));
+    assert!(!target.apply_heartbeat(&heartbeat("one", "stock", 3)));
+    assert!(target.apply_heartbeat(&heartbeat("two", "stock", 1)));
     // A late deregistration of the first one does not affect the second.
-    assert!(!target.leave(&incarnation("one", 0)));
+    assert!(!target.mark_left(&incarnation("one", 0)));
     assert_eq!(current(&target).as_deref(), Some("two"));
     assert_eq!(target.left(), [incarnation("one", 0)]);
 }
@@ -66,26 +66,26 @@
         heartbeat.incarnation.started_unix_ms = started_unix_ms;
         heartbeat
     };
-    target.take_heartbeat(&life(5_000, 70));
+    target.apply_heartbeat(&life(5_000, 70));
     target.failing.note(true);
-    assert!(target.take_heartbeat(&life(6_000, 1)), "its sequence starts again");
+    assert!(target.apply_heartbeat(&life(6_000, 1)), "its sequence starts again");
     assert_eq!(
         target.failing.share(tokio::time::Instant::now()),
         0.0,
         "the new incarnation has no failures"
     );
     assert!(
-        !target.take_heartbeat(&life(5_000, 71)),
+        !target.apply_heartbeat(&life(5_000, 71)),
         "a delayed heartbeat of the earlier incarnation"
     );
-    assert!(!target.leave(&incarnation("one", 5_000)));
+    assert!(!target.mark_left(&incarnation("one", 5_000)));
     assert_eq!(target.current().unwrap().incarnation, incarnation("one", 6_000));
-    assert!(target.leave(&incarnation("one", 6_000)));
-    assert!(!target.take_heartbeat(&life(6_000, 2)));
-    assert!(!target.take_heartbeat(&life(5_000, 72)));
-    assert!(target.take_heartbeat(&life(7_000, 1)));
+    assert!(target.mark_left(&incarnation("one", 6_000)));
+    assert!(!target.apply_heartbeat(&life(6_000, 2)));
+    assert!(!target.apply_heartbeat(&life(5_000, 72)));
+    assert!(target.apply_heartbeat(&life(7_000, 1)));
     // A deregistration without a start time means the incarnation that is known.
-    assert!(target.leave(&incarnation("one", 0)));
-    assert!(!target.take_heartbeat(&life(7_000, 2)));
-    assert!(target.take_heartbeat(&life(8_000, 1)));
+    assert!(target.mark_left(&incarnation("one", 0)));
+    assert!(!target.apply_heartbeat(&life(7_000, 2)));
+    assert!(target.apply_heartbeat(&life(8_000, 1)));
 }
--- a/tests/mesh/teams.rs
+++ b/tests/mesh/teams.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use super::support::{
-    Reaction, TestNode, acquaint, ask, connect, header, read_message, route, run, start, status,
+    Reaction, TestNode, ask, connect, header, link_nodes, read_message, route, run, start, status,
 };
 
 const FAST: Reaction = Reaction::Answer(200, 0);
@@ -33,9 +33,9 @@
 async fn entry_and_target(document: &'static str, reaction: Reaction) -> (TestNode, TestNode) {
     let entry = start("page-1", "page", vec![FAST]).await;
     let other = start("stock-1", "stock", vec![reaction]).await;
-    acquaint(&entry, &other).await;
+    link_nodes(&entry, &other).await;
     for node in [&entry, &other] {
-        assert!(node.node.take_document(&document.into(), "test").unwrap());
+        assert!(node.node.apply_document(&document.into(), "test").unwrap());
     }
     (entry, other)
 }
@@ -131,7 +131,7 @@
         let mut answers = Vec::new();
         for document in [TEAMS, "3 growers:new-key:0:0", "4 growers:old-key:0:0", "5 growers::0:0"]
         {
-            entry.node.take_document(&document.into(), "test").unwrap();
+            entry.node.apply_document(&document.into(), "test").unwrap();
             caller.write_all(keyed("a1", "old-key").as_bytes()).await.unwrap();
             answers.push(status(&read_message(&mut caller).await.expect("an answer")));
         }
@@ -144,7 +144,7 @@
     run(async {
         let (entry, _other) = entry_and_target(TEAMS, FAST).await;
         for document in ["3 growers:one:0:0 buyers:one:0:0", "4 growers:a:0:0 growers:b:0:0"] {
-            assert!(entry.node.take_document(&document.into(), "test").is_err(), "{document}");
+            assert!(entry.node.apply_document(&document.into(), "test").is_err(), "{document}");
         }
         assert_eq!(status(&ask(&entry, &keyed("a1", "green-key")).await), 200);
         let team = |name: &str| Team { name: name.into(), rank: None, quota: None };
@@ -209,7 +209,7 @@
         let served = let_in(&[&entry, &other], 60).await;
         assert!((20..=22).contains(&served), "{served} were let in at once");
         for node in [&entry, &other] {
-            assert!(node.node.take_document(&"3 growers:green-key:1:1".into(), "test").unwrap());
+            assert!(node.node.apply_document(&"3 growers:green-key:1:1".into(), "test").unwrap());
         }
         sleep(Duration::from_millis(1_100)).await;
         let served = let_in(&[&entry, &other], 40).await;
