--- a/src/mesh/codec.rs
+++ b/src/mesh/codec.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 use super::frame::{Call, CallEnd, Frame, Header, Load, TargetAnswer};
-use super::words::{HeardWords, SentWords, Word};
+use super::words::{DecoderTable, EncoderTable, Word};
 
 /// The bytes of a frame's length.
 const LENGTH_BYTES: usize = 4;
@@ -82,7 +82,7 @@
 /// Writes the frames of one direction of a link.
 #[derive(Debug, Default)]
 pub struct Encoder {
-    words: SentWords,
+    table: EncoderTable,
 }
 
 impl Encoder {
@@ -111,11 +111,11 @@
             rank: call.rank,
             is_repeat: call.is_repeat,
             attempt_id: &call.attempt_id,
-            service: self.words.word(call.service.as_bytes()),
-            root: self.words.word(call.root.as_bytes()),
-            team: self.words.value(TEAM, call.team.as_bytes()),
-            method: self.words.word(call.method.as_bytes()),
-            folder: self.words.value(FOLDER, folder.as_bytes()),
+            service: self.table.encode(call.service.as_bytes()),
+            root: self.table.encode(call.root.as_bytes()),
+            team: self.table.encode_value(TEAM, call.team.as_bytes()),
+            method: self.table.encode(call.method.as_bytes()),
+            folder: self.table.encode_value(FOLDER, folder.as_bytes()),
             rest,
             headers: self.pack_headers(&call.headers),
             body: &call.body,
@@ -141,8 +141,8 @@
     fn pack_headers<'a>(&mut self, headers: &'a [Header]) -> Vec<PackedHeader<'a>> {
         let mut packed = Vec::with_capacity(headers.len());
         for header in headers {
-            let name = self.words.word(&header.name);
-            packed.push((name, self.words.value(&header.name, &header.value)));
+            let name = self.table.encode(&header.name);
+            packed.push((name, self.table.encode_value(&header.name, &header.value)));
         }
         packed
     }
@@ -158,7 +158,7 @@
 /// Reads the frames of one direction of a link.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    words: HeardWords,
+    table: DecoderTable,
 }
 
 impl Decoder {
@@ -187,11 +187,11 @@
 
     /// Words are resolved in the order in which the other end packed them.
     fn unpack_call(&mut self, packed: &PackedCall<'_>) -> Result<Call, FrameError> {
-        let service = self.words.resolve_text(&packed.service)?;
-        let root = self.words.resolve_text(&packed.root)?;
-        let team = self.words.resolve_text(&packed.team)?;
-        let method = self.words.resolve_text(&packed.method)?;
-        let path = self.words.resolve_text(&packed.folder)? + packed.rest;
+        let service = self.table.decode_text(&packed.service)?;
+        let root = self.table.decode_text(&packed.root)?;
+        let team = self.table.decode_text(&packed.team)?;
+        let method = self.table.decode_text(&packed.method)?;
+        let path = self.table.decode_text(&packed.folder)? + packed.rest;
         Ok(Call {
             id: packed.id,
             service,
@@ -221,8 +221,8 @@
     fn unpack_headers(&mut self, packed: &[PackedHeader<'_>]) -> Result<Vec<Header>, FrameError> {
         let mut headers = Vec::with_capacity(packed.len());
         for (name, value) in packed {
-            let name = self.words.resolve(name)?;
-            headers.push(Header { name, value: self.words.resolve(value)? });
+            let name = self.table.decode(name)?;
+            headers.push(Header { name, value: self.table.decode(value)? });
         }
         Ok(headers)
     }
--- a/src/mesh/words.rs
+++ b/src/mesh/words.rs
@@ -32,7 +32,7 @@
 
 /// The sender's table.
 #[derive(Debug, Default)]
-pub struct SentWords {
+pub struct EncoderTable {
     numbers: HashMap<Bytes, u8>,
     kept: Vec<Bytes>,
     oldest: usize,
@@ -40,9 +40,9 @@
     last_value_hashes: HashMap<Bytes, u64>,
 }
 
-impl SentWords {
+impl EncoderTable {
     /// Encodes a word that is likely to be sent again.
-    pub fn word<'a>(&mut self, word: &'a [u8]) -> Word<'a> {
+    pub fn encode<'a>(&mut self, word: &'a [u8]) -> Word<'a> {
         if let Some(number) = self.numbers.get(word) {
             return Word::Known(*number);
         }
@@ -55,7 +55,7 @@
 
     /// Encodes a value that goes with `name`. It is kept only when sent twice in a row for that
     /// name, as many values differ each time.
-    pub fn value<'a>(&mut self, name: &[u8], value: &'a [u8]) -> Word<'a> {
+    pub fn encode_value<'a>(&mut self, name: &[u8], value: &'a [u8]) -> Word<'a> {
         if let Some(number) = self.numbers.get(value) {
             return Word::Known(*number);
         }
@@ -64,7 +64,7 @@
         let hash = hasher.finish();
         if let Some(last) = self.last_value_hashes.get_mut(name) {
             if *last == hash {
-                return self.word(value);
+                return self.encode(value);
             }
             *last = hash;
         } else if self.last_value_hashes.len() < TABLE_WORDS_MAX {
@@ -88,19 +88,19 @@
 
 /// The receiver's table, which holds the same words as the sender's.
 #[derive(Debug, Default)]
-pub struct HeardWords {
+pub struct DecoderTable {
     kept: Vec<Bytes>,
     oldest: usize,
 }
 
-impl HeardWords {
+impl DecoderTable {
     /// Decodes a word.
     ///
     /// # Errors
     ///
     /// The number is unknown, so the tables of the two ends differ, or a word to be kept is too
     /// long.
-    pub fn resolve(&mut self, word: &Word<'_>) -> Result<Bytes, FrameError> {
+    pub fn decode(&mut self, word: &Word<'_>) -> Result<Bytes, FrameError> {
         match word {
             Word::Known(number) => {
                 self.kept.get(usize::from(*number)).cloned().ok_or(FrameError::UnknownWord(*number))
@@ -121,8 +121,8 @@
     }
 
     /// Decodes a word that is text.
-    pub fn resolve_text(&mut self, word: &Word<'_>) -> Result<String, FrameError> {
-        let word = self.resolve(word)?;
+    pub fn decode_text(&mut self, word: &Word<'_>) -> Result<String, FrameError> {
+        let word = self.decode(word)?;
         String::from_utf8(word.into()).map_err(|_| FrameError::NotText)
     }
 }
