--- a/src/mesh/teams/admission.rs
+++ b/src/mesh/teams/admission.rs
@@ -1,5 +1,5 @@
-//! Lets requests in by key and quota: reads the key of a request, asks the owner of its team's quota where
-//! that has to be asked, and answers other entries that ask this node.
+//! Authenticates requests by API key and admits them by the quota of their team, and handles the messages by
+//! which nodes request, grant and return tokens.
 
 use std::fmt;
 use std::rc::Rc;
@@ -13,33 +13,33 @@
 use crate::mesh::node::Node;
 use crate::mesh::site::{Route, Site};
 
-use super::lease::{ASK_PATIENCE, Standing, Step};
+use super::lease::{Decision, OWNER_TIMEOUT, Step};
 use super::owner::Grant;
 use super::quota::{QuotaPolicy, TeamLease};
 use super::roster::{Quota, Team};
 
-/// The pause before the owner is looked for again, when the node that was asked is none, or cannot be reached:
-/// it has come or gone, and the nodes that have noticed and those that have not agree soon.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
-/// How often the owner is looked for.
-const ROUNDS: usize = 4;
+/// The pause before the owner is looked up again, after the node that was asked cannot be reached or does not own
+/// the quota. The fleet has changed then, and all nodes agree on the owner again soon.
+const LOOKUP_PAUSE: Duration = Duration::from_millis(50);
+/// How often the owner is looked up for one request.
+const LOOKUPS_MAX: usize = 4;
 
-/// Whose request it is.
+/// The team that a request is attributed to.
 #[derive(Clone, Debug)]
 pub enum Holder {
-    /// A team's, by its key.
+    /// The team that the key of the request belongs to.
     Team(Rc<Team>),
-    /// Nobody's in particular: the site has no teams, or the route needs no key.
+    /// No team: the site has no teams, or the route needs no key and the request has no valid one.
     Anyone,
 }
 
-/// A request whose key nobody holds, or that has none.
+/// A request without a valid key, on a route that needs one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoHolder;
 
-/// Finds whose request it is, by the keys that it carries.
+/// Attributes a request to a team by its key.
 ///
-/// A request with several keys has none: it could not be told which of them counts.
+/// A request with several key headers counts as one without a key, as it is ambiguous which of them applies.
 pub fn holder(
     site: &Site,
     route: &Route,
@@ -51,7 +51,7 @@
     }
     let mut keys = headers.get_all(key_header).iter();
     let found = match (keys.next(), keys.next()) {
-        (Some(key), None) => site.teams.holder(key.as_bytes()),
+        (Some(key), None) => site.teams.team_by_key(key.as_bytes()),
         _ => None,
     };
     match found {
@@ -64,19 +64,19 @@
 /// A request beyond its team's quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OverQuota {
-    /// When the caller may come back.
+    /// The time after which the caller may retry.
     pub come_back: Duration,
-    /// What was known of the quota.
+    /// The state of the quota when the request was refused.
     pub known: QuotaKnown,
 }
 
-/// What an entry knew of a quota when it refused a request.
+/// The state of a quota, as known to the entry node that refused a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaKnown {
     /// The quota.
     pub quota: Quota,
-    /// Requests that the owner had granted over the last five seconds, and how old that knowledge is.
-    /// Nothing where no owner has answered.
+    /// The tokens that the owner had granted over the last five seconds, and the age of that report. None if no
+    /// owner has answered.
     pub used: Option<(u32, Duration)>,
 }
 
@@ -93,47 +93,47 @@
     }
 }
 
-/// Admits a request of a team by its quota. Asks the owner where that has to be asked.
+/// Admits a request by the quota of its team. Asks the owner for tokens if the node has none.
 pub async fn admit(node: &Rc<Node>, team: &Team) -> Result<(), OverQuota> {
     let Some(quota) = team.quota else { return Ok(()) };
     let now = Instant::now();
     let held = node.quotas.lease(&team.name, now);
-    held.lease.borrow_mut().note_demand(now);
+    held.lease.borrow_mut().record_demand(now);
     if node.quotas.policy == QuotaPolicy::Equal {
-        return by_equal_share(node, quota, &held);
+        return admit_by_equal_share(node, quota, &held);
     }
-    for _ in 0..ROUNDS {
+    for _ in 0..LOOKUPS_MAX {
         let Some(owner) = node.quotas.owner(&team.name) else {
-            return by_own_bucket(node, team, quota, &held);
+            return admit_as_owner(node, team, quota, &held);
         };
         let Some(link) = node.directory.get(owner).and_then(|peer| peer.open_link()) else {
-            sleep(LOOK_AGAIN).await;
+            sleep(LOOKUP_PAUSE).await;
             continue;
         };
-        let _waiting = Waiting::new(&held);
+        let _guard = WaitingGuard::new(&held);
         let step = held.lease.borrow_mut().next_step(Instant::now());
         match step {
-            Step::Done(standing) => return verdict(standing, quota, &held),
-            Step::GoAlone => break,
+            Step::Decided(decision) => return into_result(decision, quota, &held),
+            Step::UseEqualShare => break,
             Step::Ask(tokens) => {
                 link.send(&Frame::QuotaWanted { team: team.name.to_string(), tokens });
             }
             Step::Wait => {}
         }
-        if timeout(ASK_PATIENCE, held.answered.notified()).await.is_err() {
-            // A link on which nothing comes back is closed, and its node owns nothing then.
+        if timeout(OWNER_TIMEOUT, held.answered.notified()).await.is_err() {
+            // If nothing comes back, the ping closes the link, and that node is no longer an owner.
             link.ping();
             break;
         }
-        if held.has_misasked.take() {
-            sleep(LOOK_AGAIN).await;
+        if held.asked_wrong_node.take() {
+            sleep(LOOKUP_PAUSE).await;
         }
     }
-    by_equal_share(node, quota, &held)
+    admit_by_equal_share(node, quota, &held)
 }
 
-/// Admits a request whose team's quota this node owns.
-fn by_own_bucket(
+/// Admits a request by a quota that this node owns.
+fn admit_as_owner(
     node: &Node,
     team: &Team,
     quota: Quota,
@@ -141,52 +141,58 @@
 ) -> Result<(), OverQuota> {
     let now = Instant::now();
     let mut lease = held.lease.borrow_mut();
-    let mut standing = lease.try_take(now);
-    if standing == Standing::Unknown {
+    let mut decision = lease.try_take(now);
+    if decision == Decision::Unknown {
         if let Some(grant) = node.quotas.grant(&team.name, quota, 1, now) {
-            lease.take_grant(&grant, 1, now);
+            lease.add_grant(&grant, 1, now);
         }
-        standing = lease.try_take(now);
+        decision = lease.try_take(now);
     }
     drop(lease);
-    verdict(standing, quota, held)
+    into_result(decision, quota, held)
 }
 
-/// Counts a request that waits for the owner's answer.
-struct Waiting<'a>(&'a TeamLease);
+/// Counts a request as waiting for the owner's answer until dropped.
+struct WaitingGuard<'a>(&'a TeamLease);
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitingGuard<'a> {
     fn new(held: &'a TeamLease) -> Self {
         held.lease.borrow_mut().waiting += 1;
         Self(held)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.0.lease.borrow_mut().waiting -= 1;
     }
 }
 
-/// Admits a request by this node's equal share.
-fn by_equal_share(node: &Node, quota: Quota, held: &TeamLease) -> Result<(), OverQuota> {
-    let start = match node.quotas.policy {
-        QuotaPolicy::Leased => node.quotas.tolerance.start(quota),
+/// Admits a request by this node's equal share of the quota.
+fn admit_by_equal_share(node: &Node, quota: Quota, held: &TeamLease) -> Result<(), OverQuota> {
+    let initial_tokens = match node.quotas.policy {
+        QuotaPolicy::Leased => node.quotas.tolerance.initial_tokens(quota),
         QuotaPolicy::Equal => quota.burst,
     };
     let nodes = node.quotas.fleet().known;
     let rng = &mut *node.rng.borrow_mut();
-    let standing = held.lease.borrow_mut().try_take_floor(quota, start, nodes, Instant::now(), rng);
-    verdict(standing, quota, held)
+    let decision = held.lease.borrow_mut().try_take_equal_share(
+        quota,
+        initial_tokens,
+        nodes,
+        Instant::now(),
+        rng,
+    );
+    into_result(decision, quota, held)
 }
 
-fn verdict(standing: Standing, quota: Quota, held: &TeamLease) -> Result<(), OverQuota> {
-    let Standing::Refused { come_back } = standing else { return Ok(()) };
+fn into_result(decision: Decision, quota: Quota, held: &TeamLease) -> Result<(), OverQuota> {
+    let Decision::Refused { retry_after } = decision else { return Ok(()) };
     let used = held.lease.borrow().used(Instant::now());
-    Err(OverQuota { come_back, known: QuotaKnown { quota, used } })
+    Err(OverQuota { come_back: retry_after, known: QuotaKnown { quota, used } })
 }
 
-/// Answers an entry that asks for tokens of a team's quota.
+/// Answers an entry node that requests tokens of a team's quota; without a grant if this node is not the owner.
 pub fn answer(node: &Node, link: &Link, team: String, wanted: u32) {
     let grant = node.site().and_then(|site| {
         let found = site.teams.team(&team)?;
@@ -194,41 +200,41 @@
     });
     let grant = grant.map(|grant| QuotaGrant {
         tokens: grant.tokens,
-        dry_ms: grant.dry_for.as_millis().try_into().unwrap_or(u32::MAX),
-        come_back_ms: grant.come_back.as_millis().try_into().unwrap_or(u32::MAX),
+        dry_ms: grant.next_token_in.as_millis().try_into().unwrap_or(u32::MAX),
+        come_back_ms: grant.retry_after.as_millis().try_into().unwrap_or(u32::MAX),
         used: grant.used,
     });
     link.send(&Frame::QuotaGranted { team, grant });
 }
 
-/// Takes in the answer of a node that was asked for tokens.
+/// Handles the answer of a node that was asked for tokens. Returns tokens that came too late.
 pub fn take_answer(node: &Node, link: &Link, team: String, grant: Option<QuotaGrant>) {
-    let Some(held) = node.quotas.known_lease(&team) else { return };
-    held.has_misasked.set(grant.is_none());
+    let Some(held) = node.quotas.existing_lease(&team) else { return };
+    held.asked_wrong_node.set(grant.is_none());
     let grant = grant.map(|grant| Grant {
         tokens: grant.tokens,
-        dry_for: Duration::from_millis(grant.dry_ms.into()),
-        come_back: Duration::from_millis(grant.come_back_ms.into()),
+        next_token_in: Duration::from_millis(grant.dry_ms.into()),
+        retry_after: Duration::from_millis(grant.come_back_ms.into()),
         used: grant.used,
     });
-    let tokens = held.lease.borrow_mut().take_answer(grant, Instant::now());
+    let tokens = held.lease.borrow_mut().handle_answer(grant, Instant::now());
     if tokens > 0 {
         link.send(&Frame::QuotaReturned { team, tokens });
     }
     held.answered.notify_waiters();
 }
 
-/// Gives back the token of a request that was admitted and has not run. A request without a team took none.
+/// Returns the token of a request that was admitted and has not run. Does nothing for a request without a team.
 pub fn give_back(node: &Node, team: &str) {
-    if let Some(held) = node.quotas.known_lease(team) {
+    if let Some(held) = node.quotas.existing_lease(team) {
         held.lease.borrow_mut().put_back(Instant::now());
     }
 }
 
-/// Gives tokens that were leased and not used back to their owners.
+/// Returns the tokens of expired leases to the owners.
 pub fn give_back_unused(node: &Node) {
     let now = Instant::now();
-    for (team, tokens) in node.quotas.take_unused(now) {
+    for (team, tokens) in node.quotas.take_expired(now) {
         let Some(owner) = node.quotas.owner(&team) else {
             node.quotas.put_back(&team, tokens, now);
             continue;
--- a/src/mesh/teams/bucket.rs
+++ b/src/mesh/teams/bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket that is told the time.
+//! A token bucket; the caller passes the current time.
 
 use std::time::Duration;
 
@@ -6,24 +6,24 @@
 
 use super::roster::Quota;
 
-/// Tokens that come at a rate, up to a bound.
+/// Tokens that accrue at the rate of a quota, up to its burst.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     tokens: f64,
-    filled: Instant,
+    filled_at: Instant,
 }
 
 impl Bucket {
-    /// A bucket with `tokens` in it at `now`.
+    /// A bucket that holds `tokens` at `now`.
     pub fn new(tokens: f64, now: Instant) -> Self {
-        Self { tokens, filled: now }
+        Self { tokens, filled_at: now }
     }
 
-    /// Adds what has come since the last call at the rate of `quota`, and drops what is beyond its burst.
-    /// A bucket holds one token at least, so that a quota without a burst lets requests in.
+    /// Adds the tokens accrued since the last call at the rate of `quota`, and drops those beyond its burst.
+    /// The capacity is at least one token, so that a quota without a burst admits requests.
     pub fn fill(&mut self, quota: Quota, now: Instant) {
-        let elapsed_s = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.filled = self.filled.max(now);
+        let elapsed_s = now.saturating_duration_since(self.filled_at).as_secs_f64();
+        self.filled_at = self.filled_at.max(now);
         self.tokens = (self.tokens + quota.per_s * elapsed_s).min(quota.burst.max(1.0));
     }
 
@@ -34,14 +34,14 @@
         taken
     }
 
-    /// Puts tokens back; what is beyond the burst goes with the next [`Self::fill`].
+    /// Returns tokens; the next [`Self::fill`] drops those beyond the burst.
     pub fn put_back(&mut self, tokens: u32) {
         self.tokens += f64::from(tokens);
     }
 
-    /// How long until there is a whole token; zero where there is one.
+    /// The time until a whole token is available; zero if one already is.
     pub fn until_next(&self, per_s: f64) -> Duration {
-        let missing = (1.0 - self.tokens).max(0.0);
-        Duration::try_from_secs_f64(missing / per_s).unwrap_or(Duration::MAX)
+        let deficit = (1.0 - self.tokens).max(0.0);
+        Duration::try_from_secs_f64(deficit / per_s).unwrap_or(Duration::MAX)
     }
 }
--- a/src/mesh/teams/lease.rs
+++ b/src/mesh/teams/lease.rs
@@ -1,4 +1,4 @@
-//! What an entry holds of a team's quota.
+//! An entry node's lease of a team's quota.
 
 use std::time::Duration;
 
@@ -9,210 +9,213 @@
 use super::owner::{Grant, scaled};
 use super::roster::Quota;
 
-/// How long leased tokens may be used: it bounds by how much the runs of a window may exceed the grants of that
-/// window.
-pub const LEASE: Duration = Duration::from_millis(250);
-/// For how much of its usual demand an entry asks beyond the requests that wait, so that a team with much
-/// traffic at one entry does not ask for each request.
-const AHEAD: Duration = Duration::from_millis(100);
-/// Over which time the usual demand is averaged.
-const DEMAND_SPAN_S: f64 = 1.0;
-/// How long the owner's answer is waited for, before this node admits its own equal share.
-pub const ASK_PATIENCE: Duration = Duration::from_millis(100);
-/// After this time a question is taken as lost, and asked again.
-const ASK_LOST: Duration = Duration::from_secs(1);
-/// An owner that has said that nothing is left is not asked again sooner.
-const DRY_MIN: Duration = Duration::from_millis(20);
-
-/// Whether a request may run, as far as the entry knows.
+/// How long leased tokens are valid. Bounds by how much the executed requests of a window may exceed the tokens
+/// granted in it.
+pub const LEASE_DURATION: Duration = Duration::from_millis(250);
+/// The period of average demand for which an entry requests tokens in addition to those of waiting requests, so
+/// that a team with much traffic at one entry does not cause a message for each request.
+const PREFETCH: Duration = Duration::from_millis(100);
+/// The time constant of the exponential moving average of the demand.
+const DEMAND_TIME_CONSTANT_S: f64 = 1.0;
+/// How long to wait for the owner's answer before falling back to this node's equal share.
+pub const OWNER_TIMEOUT: Duration = Duration::from_millis(100);
+/// The time after which a request for tokens counts as lost and is sent again.
+const REQUEST_LOST_AFTER: Duration = Duration::from_secs(1);
+/// The shortest pause before an owner that had no tokens left is asked again.
+const EMPTY_MIN: Duration = Duration::from_millis(20);
+
+/// Whether a request may run, as far as the entry node can decide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// It may; a token was taken for it.
+pub enum Decision {
+    /// It may run; a token was taken for it.
     Admitted,
     /// The quota is used up.
     Refused {
-        /// When the caller may come back.
-        come_back: Duration,
+        /// The time after which the caller may retry.
+        retry_after: Duration,
     },
-    /// The owner has to be asked.
+    /// The owner has to be asked for tokens.
     Unknown,
 }
 
-/// What a request that waits for a token does next.
+/// The next step of a request that needs a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// It is decided.
-    Done(Standing),
-    /// Asks the owner for so many tokens, and waits for the answer.
+    /// The decision is made.
+    Decided(Decision),
+    /// Ask the owner for this many tokens and wait for the answer.
     Ask(u32),
-    /// Waits for an answer that is on its way.
+    /// Wait for the owner's answer to an earlier request.
     Wait,
-    /// The owner does not answer: it goes by this node's equal share.
-    GoAlone,
+    /// The owner does not answer; decide by this node's equal share.
+    UseEqualShare,
 }
 
-/// What an entry holds of one team's quota.
+/// An entry node's lease of one team's quota.
 #[derive(Debug)]
 pub struct Lease {
     tokens: u32,
-    until: Instant,
-    /// Until when the owner has nothing left, and when callers refused till then may come back.
-    dry_until: Instant,
-    come_back_at: Instant,
-    /// Requests of late, weighed by their age.
+    valid_until: Instant,
+    /// Until when the owner has no tokens left, and when callers refused until then may retry.
+    empty_until: Instant,
+    retry_at: Instant,
+    /// Recent requests, weighted by their age.
     demand: f64,
-    demand_at: Instant,
-    /// Requests that wait for the owner's answer.
+    demand_updated_at: Instant,
+    /// The number of requests that wait for the owner's answer.
     pub waiting: u32,
-    /// When the owner was asked and for how many tokens, where its answer is outstanding.
-    asked: Option<(Instant, u32)>,
-    /// What the owner granted last over all nodes, and when it said so.
+    /// When the owner was asked and for how many tokens, while its answer is outstanding.
+    pending_request: Option<(Instant, u32)>,
+    /// The tokens granted to all nodes over the last five seconds, and when the owner reported them.
     used: u32,
-    heard: Option<Instant>,
-    /// What this node admits by itself while no owner answers.
-    floor: Option<Bucket>,
+    reported_at: Option<Instant>,
+    /// The bucket of this node's equal share, used while no owner answers.
+    equal_share: Option<Bucket>,
 }
 
 impl Lease {
-    /// Nothing leased yet.
+    /// A lease without tokens.
     pub fn new(now: Instant) -> Self {
         Self {
             tokens: 0,
-            until: now,
-            dry_until: now,
-            come_back_at: now,
+            valid_until: now,
+            empty_until: now,
+            retry_at: now,
             demand: 0.0,
-            demand_at: now,
+            demand_updated_at: now,
             waiting: 0,
-            asked: None,
+            pending_request: None,
             used: 0,
-            heard: None,
-            floor: None,
+            reported_at: None,
+            equal_share: None,
         }
     }
 
-    /// Notes that a request has come.
-    pub fn note_demand(&mut self, now: Instant) {
-        let age_s = now.saturating_duration_since(self.demand_at).as_secs_f64();
-        self.demand = self.demand * (-age_s / DEMAND_SPAN_S).exp() + 1.0;
-        self.demand_at = now;
+    /// Records the arrival of a request.
+    pub fn record_demand(&mut self, now: Instant) {
+        let age_s = now.saturating_duration_since(self.demand_updated_at).as_secs_f64();
+        self.demand = self.demand * (-age_s / DEMAND_TIME_CONSTANT_S).exp() + 1.0;
+        self.demand_updated_at = now;
     }
 
-    /// Takes a token where one is held.
-    pub fn try_take(&mut self, now: Instant) -> Standing {
-        if self.tokens > 0 && now < self.until {
+    /// Takes a token if the lease has a valid one.
+    pub fn try_take(&mut self, now: Instant) -> Decision {
+        if self.tokens > 0 && now < self.valid_until {
             self.tokens -= 1;
-            return Standing::Admitted;
+            return Decision::Admitted;
         }
-        if now < self.dry_until {
-            return Standing::Refused { come_back: self.come_back_at.max(self.dry_until) - now };
+        if now < self.empty_until {
+            return Decision::Refused { retry_after: self.retry_at.max(self.empty_until) - now };
         }
-        Standing::Unknown
+        Decision::Unknown
     }
 
-    /// What a request does next whose team's quota another node owns.
+    /// The next step of a request whose team's quota another node owns.
     pub fn next_step(&mut self, now: Instant) -> Step {
-        let standing = self.try_take(now);
-        if standing != Standing::Unknown {
-            return Step::Done(standing);
+        let decision = self.try_take(now);
+        if decision != Decision::Unknown {
+            return Step::Decided(decision);
         }
-        match self.asked.map(|(asked, _)| now.saturating_duration_since(asked)) {
-            Some(since) if since < ASK_PATIENCE => Step::Wait,
-            Some(since) if since < ASK_LOST => Step::GoAlone,
+        match self.pending_request.map(|(asked_at, _)| now.saturating_duration_since(asked_at)) {
+            Some(elapsed) if elapsed < OWNER_TIMEOUT => Step::Wait,
+            Some(elapsed) if elapsed < REQUEST_LOST_AFTER => Step::UseEqualShare,
             _ => {
                 let wanted = self.wanted();
-                self.asked = Some((now, wanted));
+                self.pending_request = Some((now, wanted));
                 Step::Ask(wanted)
             }
         }
     }
 
-    /// Takes in the answer to a question. Gives back the tokens that came when nobody counted on them any
-    /// more: requests may have been admitted in their place.
-    pub fn take_answer(&mut self, grant: Option<Grant>, now: Instant) -> u32 {
+    /// Handles the answer to a request for tokens; none if the node does not own the quota. Gives the number of
+    /// tokens that arrived too late and have to be returned, as requests may have been admitted by the equal share
+    /// in their place.
+    pub fn handle_answer(&mut self, grant: Option<Grant>, now: Instant) -> u32 {
         let Some(grant) = grant else {
-            self.asked = None;
+            self.pending_request = None;
             return 0;
         };
-        match self.asked.take() {
-            Some((at, wanted)) if now.saturating_duration_since(at) <= ASK_PATIENCE => {
-                self.take_grant(&grant, wanted, now);
+        match self.pending_request.take() {
+            Some((asked_at, wanted))
+                if now.saturating_duration_since(asked_at) <= OWNER_TIMEOUT =>
+            {
+                self.add_grant(&grant, wanted, now);
                 0
             }
             _ => grant.tokens,
         }
     }
 
-    /// How many tokens to ask for: one for each request that waits, and some ahead.
+    /// How many tokens to ask for: one for each waiting request, plus those for expected demand.
     fn wanted(&self) -> u32 {
-        let ahead = self.demand / DEMAND_SPAN_S * AHEAD.as_secs_f64();
-        self.waiting.max(1) + ahead as u32
+        let expected = self.demand / DEMAND_TIME_CONSTANT_S * PREFETCH.as_secs_f64();
+        self.waiting.max(1) + expected as u32
     }
 
-    /// Takes in what the owner grants that was asked for `wanted` tokens.
-    pub fn take_grant(&mut self, grant: &Grant, wanted: u32, now: Instant) {
-        self.heard = Some(now);
+    /// Adds the tokens of a grant by the owner, which was asked for `wanted` tokens.
+    pub fn add_grant(&mut self, grant: &Grant, wanted: u32, now: Instant) {
+        self.reported_at = Some(now);
         self.used = grant.used;
-        self.floor = None;
+        self.equal_share = None;
         if grant.tokens > 0 {
-            self.tokens = if now < self.until { self.tokens } else { 0 } + grant.tokens;
-            self.until = now + LEASE;
+            self.tokens = if now < self.valid_until { self.tokens } else { 0 } + grant.tokens;
+            self.valid_until = now + LEASE_DURATION;
         }
         if grant.tokens < wanted {
-            self.dry_until = now + grant.dry_for.max(DRY_MIN);
-            self.come_back_at = now + grant.come_back;
+            self.empty_until = now + grant.next_token_in.max(EMPTY_MIN);
+            self.retry_at = now + grant.retry_after;
         }
     }
 
-    /// Puts a token back whose request has not run. Does not prolong what else is leased.
+    /// Returns the token of a request that has not run. Does not extend the validity of other tokens.
     pub fn put_back(&mut self, now: Instant) {
-        if now >= self.until {
-            self.until = now + LEASE;
+        if now >= self.valid_until {
+            self.valid_until = now + LEASE_DURATION;
             self.tokens = 0;
         }
         self.tokens += 1;
     }
 
-    /// Gives up tokens that were not used in time, and says how many.
-    pub fn take_unused(&mut self, now: Instant) -> u32 {
-        if now < self.until { 0 } else { std::mem::take(&mut self.tokens) }
+    /// Removes the tokens of an expired lease and gives their number.
+    pub fn take_expired(&mut self, now: Instant) -> u32 {
+        if now < self.valid_until { 0 } else { std::mem::take(&mut self.tokens) }
     }
 
-    /// Takes a token of this node's own equal share, while no owner answers. `nodes` is the number of nodes
-    /// that have one each.
+    /// Takes a token of this node's equal share, while no owner answers. `nodes` is the number of nodes that the
+    /// quota is divided among.
     ///
-    /// It begins with the node's part of `start`, by chance where that is less than a token.
-    pub fn try_take_floor(
+    /// The bucket starts with the node's share of `initial_tokens`; the fraction of a token is rounded at random.
+    pub fn try_take_equal_share(
         &mut self,
         quota: Quota,
-        start: f64,
+        initial_tokens: f64,
         nodes: usize,
         now: Instant,
         rng: &mut impl Rng,
-    ) -> Standing {
-        let part = 1.0 / nodes.max(1) as f64;
-        let own = scaled(quota, part);
-        let floor = self.floor.get_or_insert_with(|| {
-            let start = start * part;
-            let by_chance = rng.random::<f64>() < start.fract();
-            Bucket::new(start.floor() + f64::from(u8::from(by_chance)), now)
+    ) -> Decision {
+        let share = 1.0 / nodes.max(1) as f64;
+        let node_quota = scaled(quota, share);
+        let equal_share = self.equal_share.get_or_insert_with(|| {
+            let initial_tokens = initial_tokens * share;
+            let round_up = rng.random::<f64>() < initial_tokens.fract();
+            Bucket::new(initial_tokens.floor() + f64::from(u8::from(round_up)), now)
         });
-        floor.fill(own, now);
-        if floor.take(1) == 1 {
-            return Standing::Admitted;
+        equal_share.fill(node_quota, now);
+        if equal_share.take(1) == 1 {
+            return Decision::Admitted;
         }
-        Standing::Refused { come_back: floor.until_next(own.per_s) }
+        Decision::Refused { retry_after: equal_share.until_next(node_quota.per_s) }
     }
 
-    /// How many requests the owner had granted last, and how old that knowledge is.
+    /// The tokens granted over the last five seconds as last reported by the owner, and the age of that report.
     pub fn used(&self, now: Instant) -> Option<(u32, Duration)> {
-        Some((self.used, now.saturating_duration_since(self.heard?)))
+        Some((self.used, now.saturating_duration_since(self.reported_at?)))
     }
 
-    /// Whether nothing is lost when it is forgotten.
+    /// Whether the lease can be dropped without losing tokens or waiting requests.
     pub fn is_idle(&self, now: Instant) -> bool {
         const IDLE: Duration = Duration::from_secs(30);
-        let rests = now.saturating_duration_since(self.demand_at) > IDLE;
-        rests && self.tokens == 0 && self.waiting == 0
+        let has_no_demand = now.saturating_duration_since(self.demand_updated_at) > IDLE;
+        has_no_demand && self.tokens == 0 && self.waiting == 0
     }
 }
--- a/src/mesh/teams/mod.rs
+++ b/src/mesh/teams/mod.rs
@@ -1,8 +1,8 @@
-//! Teams: whose key lets a request in, under which name it runs, and how many of them may.
+//! API key authentication and request quotas of teams.
 //!
-//! [`roster`] tells who holds a key. A team's quota holds for all nodes together: one node, the *owner*,
-//! keeps the team's [`bucket`] ([`owner`]) and leases tokens to the entries that ask ([`lease`]).
-//! [`quota`] joins these on a node; it decides on a clock that its caller reads.
+//! [`roster`] maps API keys to teams. A team's quota applies to all nodes together: one node, the *owner*,
+//! keeps the team's token [`bucket`] ([`owner`]) and leases tokens to entry nodes on request ([`lease`]).
+//! [`quota`] combines these on a node. It reads no clock; the caller passes the current time.
 
 pub mod admission;
 pub mod bucket;
--- a/src/mesh/teams/owner.rs
+++ b/src/mesh/teams/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of a team's quota: keeps the team's bucket and leases tokens to the nodes that ask.
+//! The owner's side of a quota: the team's token bucket, from which it leases tokens to other nodes.
 
 use std::time::Duration;
 
@@ -7,66 +7,68 @@
 use super::bucket::Bucket;
 use super::roster::Quota;
 
-/// The parts in which grants are counted, and how long each lasts.
-const PARTS: usize = 10;
-const PART: Duration = Duration::from_millis(500);
-/// The part of the tolerance that a new owner's bucket begins with. It does not know what the owner before it
-/// has granted within the window; up to four changes within one keep to the bound.
-const START_SHARE: f64 = 0.25;
-/// A refused caller is sent away for this long at most.
-const COME_BACK_MAX: Duration = Duration::from_secs(5);
+/// Number and duration of the slots of the sliding window in which grants are counted.
+const SLOT_COUNT: usize = 10;
+const SLOT_DURATION: Duration = Duration::from_millis(500);
+/// The initial tokens of a new owner's bucket, as a share of the tolerance. A new owner does not know what the
+/// previous one has granted within the window; with a quarter, up to four changes of owner within a window stay
+/// within the tolerance.
+const INITIAL_SHARE: f64 = 0.25;
+/// The longest time after which a refused caller is told to retry.
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(5);
 
-/// By how much the runs of a team may exceed its quota, as the platform bounds it.
+/// By how much the executed requests of a team may exceed its quota, as bounded by the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
-    /// The time over which runs are counted.
+    /// The length of the window in which requests are counted.
     pub window: Duration,
-    /// As a share of the quota.
+    /// The tolerated excess as a share of the quota.
     pub share: f64,
-    /// In runs.
+    /// The additional tolerated excess, in requests.
     pub slack: f64,
 }
 
 impl Tolerance {
-    /// How many runs beyond the quota are tolerated within a window.
-    pub fn runs(&self, quota: Quota) -> f64 {
+    /// The number of requests beyond the quota that are tolerated within a window.
+    pub fn excess_requests(&self, quota: Quota) -> f64 {
         (quota.per_s * self.window.as_secs_f64() + quota.burst) * self.share + self.slack
     }
 
-    /// How many tokens a bucket begins with whose keeper does not know what was granted before.
-    pub fn start(&self, quota: Quota) -> f64 {
-        self.runs(quota) * START_SHARE
+    /// The initial tokens of a bucket on a node that does not know what was granted before.
+    pub fn initial_tokens(&self, quota: Quota) -> f64 {
+        self.excess_requests(quota) * INITIAL_SHARE
     }
 }
 
-/// What an owner answers.
+/// An owner's answer to a request for tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Requests that may run.
+    /// The tokens granted: requests that may run.
     pub tokens: u32,
-    /// How long until it is worth to ask again, where none were left.
-    pub dry_for: Duration,
-    /// When a refused caller may come back.
-    pub come_back: Duration,
-    /// Requests granted to all nodes over the last five seconds.
+    /// The time until the next token is available; zero if tokens are left.
+    pub next_token_in: Duration,
+    /// The time after which a refused caller may retry; zero if all tokens were granted.
+    pub retry_after: Duration,
+    /// Tokens granted to all nodes over the last five seconds.
     pub used: u32,
 }
 
-/// What a node keeps of a team whose quota it owns.
+/// The state of a quota on the node that owns it.
 #[derive(Debug)]
-pub struct Owned {
+pub struct OwnedQuota {
     bucket: Bucket,
-    /// Up to when refused callers were told to come back.
-    promised_until: Instant,
-    /// Grants by part, in a ring, and the number of the newest part.
-    granted: [u32; PARTS],
-    newest: u64,
-    started: Instant,
+    /// The latest time at which a refused caller was told to retry.
+    last_retry_at: Instant,
+    /// Granted tokens by slot, in a ring, and the number of the newest slot.
+    granted: [u32; SLOT_COUNT],
+    newest_slot: u64,
+    started_at: Instant,
 }
 
-impl Owned {
-    /// The bucket of a node that has owned the team since `owner_since` at least: what has come since then,
-    /// as nobody else has granted it. `share` is the part of the fleet that the node is linked with.
+impl OwnedQuota {
+    /// The state on a node that has owned the quota at least since `owner_since`. The bucket contains the tokens
+    /// accrued since then, as no other node has granted them. `share` is the share of the fleet that the node is
+    /// connected to.
     pub fn new(
         quota: Quota,
         tolerance: &Tolerance,
@@ -74,56 +76,64 @@
         owner_since: Instant,
         now: Instant,
     ) -> Self {
-        let mut bucket = Bucket::new(tolerance.start(quota) * share, owner_since);
+        let mut bucket = Bucket::new(tolerance.initial_tokens(quota) * share, owner_since);
         bucket.fill(scaled(quota, share), now);
-        Self { bucket, promised_until: now, granted: [0; PARTS], newest: 0, started: now }
+        Self {
+            bucket,
+            last_retry_at: now,
+            granted: [0; SLOT_COUNT],
+            newest_slot: 0,
+            started_at: now,
+        }
     }
 
     /// Grants up to `wanted` tokens.
     ///
-    /// A node that is cut off from a part of the fleet grants the share of the part that it sees: each part
-    /// has an owner then, and their shares add up to the quota.
+    /// A node that is partitioned from a part of the fleet grants only the share of the part that it reaches: each
+    /// part has an owner of its own then, and their shares add up to the quota.
     pub fn grant(&mut self, quota: Quota, share: f64, wanted: u32, now: Instant) -> Grant {
         let quota = scaled(quota, share);
         self.bucket.fill(quota, now);
         let tokens = self.bucket.take(wanted);
-        self.note_granted(tokens, now);
-        let dry_for = self.bucket.until_next(quota.per_s);
-        let mut come_back = Duration::ZERO;
+        self.record_grant(tokens, now);
+        let next_token_in = self.bucket.until_next(quota.per_s);
+        let mut retry_after = Duration::ZERO;
         if tokens < wanted {
-            let each = Duration::try_from_secs_f64(1.0 / quota.per_s).unwrap_or(COME_BACK_MAX);
-            let refused = (wanted - tokens).min(COME_BACK_MAX.as_millis() as u32);
-            let first = self.promised_until.max(now + dry_for.min(COME_BACK_MAX));
-            self.promised_until = (first + each * refused).min(now + COME_BACK_MAX);
-            come_back = first.min(now + COME_BACK_MAX) - now;
+            let token_interval =
+                Duration::try_from_secs_f64(1.0 / quota.per_s).unwrap_or(RETRY_AFTER_MAX);
+            let refused = (wanted - tokens).min(RETRY_AFTER_MAX.as_millis() as u32);
+            let retry_at = self.last_retry_at.max(now + next_token_in.min(RETRY_AFTER_MAX));
+            self.last_retry_at = (retry_at + token_interval * refused).min(now + RETRY_AFTER_MAX);
+            retry_after = retry_at.min(now + RETRY_AFTER_MAX) - now;
         }
-        Grant { tokens, dry_for, come_back, used: self.granted.iter().sum() }
+        Grant { tokens, next_token_in, retry_after, used: self.granted.iter().sum() }
     }
 
-    /// Takes back tokens that were not used.
+    /// Returns unused tokens to the bucket.
     pub fn put_back(&mut self, tokens: u32, now: Instant) {
-        self.advance(now);
-        let newest = &mut self.granted[self.newest as usize % PARTS];
-        *newest = newest.saturating_sub(tokens);
+        self.advance_window(now);
+        let slot = &mut self.granted[self.newest_slot as usize % SLOT_COUNT];
+        *slot = slot.saturating_sub(tokens);
         self.bucket.put_back(tokens);
     }
 
-    fn note_granted(&mut self, tokens: u32, now: Instant) {
-        self.advance(now);
-        self.granted[self.newest as usize % PARTS] += tokens;
+    fn record_grant(&mut self, tokens: u32, now: Instant) {
+        self.advance_window(now);
+        self.granted[self.newest_slot as usize % SLOT_COUNT] += tokens;
     }
 
-    fn advance(&mut self, now: Instant) {
-        let elapsed = now.saturating_duration_since(self.started);
-        let number = (elapsed.as_millis() / PART.as_millis()) as u64;
-        while self.newest < number {
-            self.newest = (self.newest + 1).max(number.saturating_sub(PARTS as u64));
-            self.granted[self.newest as usize % PARTS] = 0;
+    fn advance_window(&mut self, now: Instant) {
+        let elapsed = now.saturating_duration_since(self.started_at);
+        let current_slot = (elapsed.as_millis() / SLOT_DURATION.as_millis()) as u64;
+        while self.newest_slot < current_slot {
+            self.newest_slot =
+                (self.newest_slot + 1).max(current_slot.saturating_sub(SLOT_COUNT as u64));
+            self.granted[self.newest_slot as usize % SLOT_COUNT] = 0;
         }
     }
 }
 
-/// The part of a quota that a part of the fleet has.
+/// The given share of a quota.
 pub fn scaled(quota: Quota, share: f64) -> Quota {
     Quota { per_s: quota.per_s * share, burst: quota.burst * share }
 }
--- a/src/mesh/teams/quota.rs
+++ b/src/mesh/teams/quota.rs
@@ -1,4 +1,4 @@
-//! The quotas of all teams, as far as one node decides about them.
+//! A node's state for the quotas of all teams: the leases that it holds and the quotas that it owns.
 
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::HashMap;
@@ -12,37 +12,37 @@
 use tokio::time::Instant;
 
 use super::lease::Lease;
-use super::owner::{Grant, Owned, Tolerance};
+use super::owner::{Grant, OwnedQuota, Tolerance};
 use super::roster::Quota;
 
-/// How a quota is shared among the entries.
+/// How a quota is distributed among the entry nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum QuotaPolicy {
-    /// The owner of a team leases tokens to the entries that ask.
+    /// The owner of a team's quota leases tokens to entry nodes on request.
     #[default]
     Leased,
-    /// Each entry has an equal share.
+    /// Each entry node has an equal share.
     Equal,
 }
 
-/// The nodes among which owners are found.
+/// The nodes from which the owners of quotas are chosen.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fleet {
-    /// This node, and those that it is linked with, unless they are stopping; sorted.
+    /// This node and those that it is connected to, except stopping ones; sorted.
     pub members: Vec<SocketAddr>,
-    /// How many nodes there are as far as is known, the members among them.
+    /// The number of known nodes, including the members.
     pub known: usize,
 }
 
 impl Fleet {
-    /// The part of the fleet that this node sees.
+    /// The share of the fleet that this node is connected to.
     pub fn share(&self) -> f64 {
         (self.members.len() as f64 / self.known.max(1) as f64).min(1.0)
     }
 
-    /// The member that owns a team's quota: nodes with the same members find the same one, and a member
-    /// that comes or goes changes the owner of as few teams as can be.
+    /// The member that owns a team's quota, by rendezvous hashing: nodes with the same members choose the same
+    /// owner, and adding or removing a member changes the owner of as few teams as possible.
     pub fn owner(&self, team: &str) -> Option<SocketAddr> {
         self.members.iter().copied().max_by_key(|member| {
             let mut hasher = SipHasher24::new();
@@ -52,65 +52,65 @@
     }
 }
 
-/// What an entry holds of a team's quota, and a signal to the requests that wait for more.
+/// An entry node's lease of a team's quota, and a signal to the requests that wait for tokens.
 #[derive(Debug)]
 pub struct TeamLease {
-    /// What it holds.
+    /// The lease.
     pub lease: RefCell<Lease>,
-    /// Wakes the requests that wait for the owner's answer.
+    /// Notifies the requests that wait for the owner's answer.
     pub answered: Notify,
-    /// Whether the node that was asked last does not own the quota.
-    pub has_misasked: Cell<bool>,
+    /// Whether the node that answered last does not own the quota.
+    pub asked_wrong_node: Cell<bool>,
 }
 
-/// The quotas of all teams, as far as one node decides about them.
+/// A node's state for the quotas of all teams.
 #[derive(Debug)]
 pub struct Quotas {
     own_address: SocketAddr,
-    /// By how much quotas may be exceeded.
+    /// By how much a quota may be exceeded.
     pub tolerance: Tolerance,
-    /// How quotas are shared.
+    /// How quotas are distributed among nodes.
     pub policy: QuotaPolicy,
     fleet: RefCell<Fleet>,
-    fleet_changed: Cell<Instant>,
+    fleet_changed_at: Cell<Instant>,
     owners: RefCell<HashMap<Rc<str>, SocketAddr>>,
     leases: RefCell<HashMap<Rc<str>, Rc<TeamLease>>>,
-    owned: RefCell<HashMap<Rc<str>, Owned>>,
+    owned: RefCell<HashMap<Rc<str>, OwnedQuota>>,
 }
 
 impl Quotas {
-    /// No quota was used yet, and no other node is known.
+    /// The state at the start of a node: no quota is in use, and no other node is known.
     pub fn new(own_address: SocketAddr, policy: QuotaPolicy, tolerance: Tolerance) -> Self {
         Self {
             own_address,
             tolerance,
             policy,
             fleet: RefCell::new(Fleet { members: vec![own_address], known: 1 }),
-            fleet_changed: Cell::new(Instant::now()),
+            fleet_changed_at: Cell::new(Instant::now()),
             owners: RefCell::default(),
             leases: RefCell::default(),
             owned: RefCell::default(),
         }
     }
 
-    /// The nodes among which owners are found.
+    /// The nodes from which the owners of quotas are chosen.
     pub fn fleet(&self) -> Ref<'_, Fleet> {
         self.fleet.borrow()
     }
 
-    /// Takes in which nodes there are. What is kept of teams that another node owns now is dropped: by the
-    /// time they come back it is out of date.
+    /// Updates the fleet. Drops the state of quotas that another node owns now, as it would be out of date if
+    /// this node became their owner again.
     pub fn set_fleet(&self, fleet: Fleet, now: Instant) {
         if *self.fleet.borrow() == fleet {
             return;
         }
         self.owners.borrow_mut().clear();
-        self.fleet_changed.set(now);
+        self.fleet_changed_at.set(now);
         self.owned.borrow_mut().retain(|team, _| fleet.owner(team) == Some(self.own_address));
         self.fleet.replace(fleet);
     }
 
-    /// The node that owns a team's quota; none is this one.
+    /// The address of the node that owns a team's quota; none if this node does.
     pub fn owner(&self, team: &Rc<str>) -> Option<SocketAddr> {
         let mut owners = self.owners.borrow_mut();
         let owner = owners
@@ -119,7 +119,7 @@
         (*owner != self.own_address).then_some(*owner)
     }
 
-    /// Grants tokens of a team's quota, if this node owns it.
+    /// Grants up to `wanted` tokens of a team's quota; none if another node owns it.
     pub fn grant(&self, team: &Rc<str>, quota: Quota, wanted: u32, now: Instant) -> Option<Grant> {
         if self.owner(team).is_some() {
             return None;
@@ -127,45 +127,44 @@
         let share = self.fleet.borrow().share();
         let mut owned = self.owned.borrow_mut();
         let owned = owned.entry(Rc::clone(team)).or_insert_with(|| {
-            Owned::new(quota, &self.tolerance, share, self.fleet_changed.get(), now)
+            OwnedQuota::new(quota, &self.tolerance, share, self.fleet_changed_at.get(), now)
         });
         Some(owned.grant(quota, share, wanted, now))
     }
 
-    /// Takes back tokens that were granted and not used.
+    /// Returns tokens that were granted and not used. Does nothing if this node does not own the quota.
     pub fn put_back(&self, team: &str, tokens: u32, now: Instant) {
         if let Some(owned) = self.owned.borrow_mut().get_mut(team) {
             owned.put_back(tokens, now);
         }
     }
 
-    /// What this node holds of a team's quota.
+    /// This node's lease of a team's quota; created if there is none.
     pub fn lease(&self, team: &Rc<str>, now: Instant) -> Rc<TeamLease> {
         let mut leases = self.leases.borrow_mut();
         let lease = leases.entry(Rc::clone(team)).or_insert_with(|| {
             let lease = RefCell::new(Lease::new(now));
-            Rc::new(TeamLease { lease, answered: Notify::new(), has_misasked: Cell::default() })
+            Rc::new(TeamLease { lease, answered: Notify::new(), asked_wrong_node: Cell::default() })
         });
         Rc::clone(lease)
     }
 
-    /// What this node holds of a team's quota, if it has asked for any.
-    pub fn known_lease(&self, team: &str) -> Option<Rc<TeamLease>> {
+    /// This node's lease of a team's quota, if there is one.
+    pub fn existing_lease(&self, team: &str) -> Option<Rc<TeamLease>> {
         self.leases.borrow().get(team).cloned()
     }
 
-    /// Takes the tokens out of all leases that were not used in time, each with its team. Teams that have
-    /// sent nothing for long are forgotten.
-    pub fn take_unused(&self, now: Instant) -> Vec<(Rc<str>, u32)> {
-        let mut unused = Vec::new();
+    /// Removes the tokens of expired leases, and gives their number by team. Also drops the leases of idle teams.
+    pub fn take_expired(&self, now: Instant) -> Vec<(Rc<str>, u32)> {
+        let mut expired = Vec::new();
         self.leases.borrow_mut().retain(|team, held| {
             let mut lease = held.lease.borrow_mut();
-            let tokens = lease.take_unused(now);
+            let tokens = lease.take_expired(now);
             if tokens > 0 {
-                unused.push((Rc::clone(team), tokens));
+                expired.push((Rc::clone(team), tokens));
             }
             !lease.is_idle(now)
         });
-        unused
+        expired
     }
 }
--- a/src/mesh/teams/roster.rs
+++ b/src/mesh/teams/roster.rs
@@ -1,4 +1,4 @@
-//! The teams of a configuration, and who holds which key.
+//! The teams of a configuration and their API keys.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -7,39 +7,39 @@
 
 use super::key::{KeyDigest, KeyHasher};
 
-/// How many requests a team may send, over all nodes together.
+/// The request rate allowed to a team, over all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Requests a second.
+    /// Requests per second.
     pub per_s: f64,
-    /// Requests beyond that at once.
+    /// Requests that may exceed the rate at once.
     pub burst: f64,
 }
 
 /// A team as the operator configures it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
-    /// Its name, which targets are told.
+    /// The name, which is sent to targets.
     pub name: Rc<str>,
-    /// The rank of its requests, where that goes before the rank of their routes.
+    /// The rank of its requests, which takes precedence over the rank of their routes; none if not configured.
     pub rank: Option<u8>,
-    /// How many requests it may send; no limit where there is none.
+    /// The quota; none means unlimited.
     pub quota: Option<Quota>,
 }
 
-/// Why teams cannot come into force. Names teams, never keys.
+/// Why a list of teams is invalid. Messages contain the names of teams, never keys.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RosterError {
     /// A team without a name.
-    #[error("a team has no name")]
-    NoName,
-    /// Two teams of one name.
+    #[error("a team has an empty name")]
+    EmptyName,
+    /// Two teams have the same name.
     #[error("the team {0:?} is listed twice")]
-    SameName(String),
-    /// A key without a character would let in requests that have none.
+    DuplicateName(String),
+    /// An empty key, which would admit requests with an empty key header.
     #[error("the team {0:?} has an empty key")]
     EmptyKey(String),
-    /// It could not be told whose request it is.
+    /// Two teams have a key in common, so that a request with it could not be attributed.
     #[error("the teams {0:?} and {1:?} share a key")]
     SharedKey(String, String),
 }
@@ -49,23 +49,23 @@
 pub struct Roster {
     hasher: KeyHasher,
     teams: HashMap<Rc<str>, Rc<Team>>,
-    holders: HashMap<KeyDigest, Rc<Team>>,
-    /// The ranks that teams have, each once, the most important first.
+    teams_by_key: HashMap<KeyDigest, Rc<Team>>,
+    /// The distinct ranks of the teams, most important first.
     ranks: Vec<u8>,
 }
 
 impl Roster {
-    /// A roster of teams, each with its keys. A team may list a key twice, and may have none at all: then
-    /// nobody is let in under its name.
-    pub fn new(listed: Vec<(Team, Vec<String>)>) -> Result<Self, RosterError> {
+    /// A roster of teams, each with its keys. A team may list a key twice. A team without keys is valid, but
+    /// no request is admitted for it.
+    pub fn new(teams_with_keys: Vec<(Team, Vec<String>)>) -> Result<Self, RosterError> {
         let mut roster = Self::default();
-        for (team, keys) in listed {
+        for (team, keys) in teams_with_keys {
             if team.name.is_empty() {
-                return Err(RosterError::NoName);
+                return Err(RosterError::EmptyName);
             }
             let team = Rc::new(team);
             if roster.teams.insert(Rc::clone(&team.name), Rc::clone(&team)).is_some() {
-                return Err(RosterError::SameName(team.name.to_string()));
+                return Err(RosterError::DuplicateName(team.name.to_string()));
             }
             for key in &keys {
                 roster.add_key(&team, key)?;
@@ -81,8 +81,9 @@
         if key.is_empty() {
             return Err(RosterError::EmptyKey(team.name.to_string()));
         }
-        let holder = self.holders.insert(self.hasher.digest(key.as_bytes()), Rc::clone(team));
-        match holder {
+        let previous =
+            self.teams_by_key.insert(self.hasher.digest(key.as_bytes()), Rc::clone(team));
+        match previous {
             Some(other) if other.name != team.name => {
                 Err(RosterError::SharedKey(other.name.to_string(), team.name.to_string()))
             }
@@ -90,39 +91,39 @@
         }
     }
 
-    /// Whether no team is configured: then no request needs a key.
+    /// Whether no team is configured, in which case requests need no key.
     pub fn is_empty(&self) -> bool {
         self.teams.is_empty()
     }
 
-    /// The team that holds `key`.
-    pub fn holder(&self, key: &[u8]) -> Option<&Rc<Team>> {
-        self.holders.get(&self.hasher.digest(key))
+    /// The team that `key` belongs to.
+    pub fn team_by_key(&self, key: &[u8]) -> Option<&Rc<Team>> {
+        self.teams_by_key.get(&self.hasher.digest(key))
     }
 
-    /// The team of a name.
+    /// The team with the given name.
     pub fn team(&self, name: &str) -> Option<&Rc<Team>> {
         self.teams.get(name)
     }
 
-    /// The names of the teams with the largest quotas, the largest first, at most `most`. A team without
-    /// a limit counts as larger than any other.
-    pub fn largest(&self, most: usize) -> Vec<Rc<str>> {
+    /// The names of the teams with the largest quotas, largest first, at most `count`. A team without a quota
+    /// counts as larger than any other.
+    pub fn largest(&self, count: usize) -> Vec<Rc<str>> {
         let size = |team: &Team| team.quota.map_or(f64::INFINITY, |quota| quota.per_s);
         let mut teams: Vec<&Rc<Team>> = self.teams.values().collect();
         teams.sort_unstable_by(|one, other| {
             size(other).total_cmp(&size(one)).then_with(|| one.name.cmp(&other.name))
         });
-        teams.truncate(most);
+        teams.truncate(count);
         teams.into_iter().map(|team| Rc::clone(&team.name)).collect()
     }
 
-    /// How many ranks there are among the teams; one where no team has any.
+    /// The number of distinct ranks of teams; one if no team has a rank.
     pub fn rank_places(&self) -> usize {
         self.ranks.len().max(1)
     }
 
-    /// The place of a team's rank among those that there are. A team without a rank has the last one.
+    /// The index of a team's rank among the distinct ranks. A team without a rank gets the last index.
     pub fn rank_place(&self, team: &Team) -> usize {
         let place = self.ranks.iter().position(|rank| Some(*rank) == team.rank);
         place.unwrap_or(self.rank_places() - 1)
--- a/tests/mesh/quotas.rs
+++ b/tests/mesh/quotas.rs
@@ -1,12 +1,12 @@
-//! Quotas over whole fleets, played on a clock of their own: entries, owners and what they say to each other,
-//! with nodes that end, stand still and are cut off.
+//! Simulates quotas over whole fleets in virtual time: entry nodes, owners and their messages, with nodes that
+//! restart, pause and are partitioned.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use aspenspring::mesh::teams::lease::{Standing, Step};
+use aspenspring::mesh::teams::lease::{Decision, Step};
 use aspenspring::mesh::teams::owner::{Grant, Tolerance};
 use aspenspring::mesh::teams::quota::{Fleet, QuotaPolicy, Quotas};
 use aspenspring::mesh::teams::roster::Quota;
@@ -14,31 +14,31 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
 
-/// One step of the clock, and the delay of a message in steps.
+/// The time step of the simulation, and the delay of a message in steps.
 const STEP: Duration = Duration::from_millis(5);
 const DELAY_STEPS: usize = 1;
-/// After so many steps a node notices that another one is gone, or is there.
-const NOTICE_STEPS: usize = 20;
-/// The window and the tolerance of the target sheet.
+/// The number of steps after which a node detects that another one has gone or come back.
+const DETECTION_STEPS: usize = 20;
+/// The window and the tolerance that the quotas must keep to.
 const WINDOW: Duration = Duration::from_secs(5);
 const OVERAGE: f64 = 0.1;
 const SLACK: f64 = 20.0;
 
-/// What happens to a node, from one step to another.
+/// What happens to a node during a range of steps.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// It ends, and starts with nothing.
-    Ends,
-    /// It stands still; so does its clock.
-    Freezes,
+    /// It ends and restarts without state.
+    Restarts,
+    /// It is paused, and its clock with it.
+    Pauses,
 }
 
-struct SimNode {
+struct SimulatedNode {
     quotas: Quotas,
-    /// How long it has stood still.
-    behind: Duration,
+    /// For how long it has been paused so far.
+    paused_for: Duration,
     fault: Option<(Fault, usize, usize)>,
-    /// Requests that wait for the owner's answer, by the step in which they came.
+    /// The steps in which the requests arrived that wait for the owner's answer.
     waiting: Vec<usize>,
 }
 
@@ -48,18 +48,18 @@
     Returned(u32),
 }
 
-struct Sim {
-    began: Instant,
+struct Simulation {
+    started_at: Instant,
     step: usize,
     team: Rc<str>,
     quota: Quota,
-    nodes: Vec<SimNode>,
-    /// Which half of the fleet a node is in while it is split, and from when to when it is.
+    nodes: Vec<SimulatedNode>,
+    /// The range of steps in which the two halves of the fleet are partitioned from each other.
     split: Option<(usize, usize)>,
     messages: VecDeque<(usize, usize, usize, Message)>,
     rng: SmallRng,
-    /// Admitted requests by step; requests that were refused.
-    ran: Vec<u32>,
+    /// Admitted requests by step, and the number of refused requests.
+    admitted: Vec<u32>,
     refused: u32,
 }
 
@@ -67,9 +67,9 @@
     ([10, 0, (node >> 8) as u8, node as u8], 7000).into()
 }
 
-/// The number of the node at an address.
-fn number(address: SocketAddr) -> usize {
-    let SocketAddr::V4(address) = address else { panic!("{address} is none of the fleet") };
+/// The index of the node at an address.
+fn index(address: SocketAddr) -> usize {
+    let SocketAddr::V4(address) = address else { panic!("{address} is not in the fleet") };
     let [_, _, high, low] = address.ip().octets();
     usize::from(u16::from_be_bytes([high, low]))
 }
@@ -78,16 +78,16 @@
     Tolerance { window: WINDOW, share: OVERAGE, slack: SLACK }
 }
 
-impl Sim {
+impl Simulation {
     fn new(nodes: usize, quota: Quota, seed: u64) -> Self {
-        let node = |at| SimNode {
+        let node = |at| SimulatedNode {
             quotas: Quotas::new(address(at), QuotaPolicy::Leased, tolerance()),
-            behind: Duration::ZERO,
+            paused_for: Duration::ZERO,
             fault: None,
             waiting: Vec::new(),
         };
         Self {
-            began: Instant::now(),
+            started_at: Instant::now(),
             step: 0,
             team: "growers".into(),
             quota,
@@ -95,33 +95,33 @@
             split: None,
             messages: VecDeque::new(),
             rng: SmallRng::seed_from_u64(seed),
-            ran: Vec::new(),
+            admitted: Vec::new(),
             refused: 0,
         }
     }
 
-    /// The time by the clock of a node.
+    /// The time on a node's clock.
     fn now(&self, node: usize) -> Instant {
-        self.began + STEP * self.step as u32 - self.nodes[node].behind
+        self.started_at + STEP * self.step as u32 - self.nodes[node].paused_for
     }
 
     fn is_split(&self, one: usize, other: usize, step: usize) -> bool {
         let half = self.nodes.len() / 2;
-        let lasts = self.split.is_some_and(|(from, to)| (from..to).contains(&step));
-        lasts && (one < half) != (other < half)
+        let is_active = self.split.is_some_and(|(from, to)| (from..to).contains(&step));
+        is_active && (one < half) != (other < half)
     }
 
-    fn is_away(&self, node: usize, fault: Fault, step: usize) -> bool {
+    fn has_fault(&self, node: usize, fault: Fault, step: usize) -> bool {
         let found = self.nodes[node].fault;
         found.is_some_and(|(kind, from, to)| kind == fault && (from..to).contains(&step))
     }
 
-    /// Whether `node` believes that it is linked with `other`.
+    /// Whether `node` considers itself connected to `other`.
     fn is_linked(&self, node: usize, other: usize) -> bool {
-        let seen = self.step.saturating_sub(NOTICE_STEPS);
-        let gone =
-            |step| self.is_split(node, other, step) || self.is_away(other, Fault::Ends, step);
-        node == other || !(gone(seen) || gone(self.step))
+        let detected_step = self.step.saturating_sub(DETECTION_STEPS);
+        let is_unreachable =
+            |step| self.is_split(node, other, step) || self.has_fault(other, Fault::Restarts, step);
+        node == other || !(is_unreachable(detected_step) || is_unreachable(self.step))
     }
 
     fn set_fleets(&mut self) {
@@ -134,20 +134,20 @@
         }
     }
 
-    /// Plays one step in which requests come to the given entries.
-    fn play(&mut self, entries: &[usize]) {
-        self.ran.push(0);
+    /// Simulates one step in which requests arrive at the given entry nodes.
+    fn run_step(&mut self, entries: &[usize]) {
+        self.admitted.push(0);
         let has_faults = self.split.is_some() || self.nodes.iter().any(|node| node.fault.is_some());
-        if self.step == 0 || has_faults && self.step % NOTICE_STEPS == 0 {
+        if self.step == 0 || has_faults && self.step % DETECTION_STEPS == 0 {
             self.set_fleets();
         }
         for node in 0..self.nodes.len() {
-            if self.is_away(node, Fault::Freezes, self.step) {
-                self.nodes[node].behind += STEP;
+            if self.has_fault(node, Fault::Pauses, self.step) {
+                self.nodes[node].paused_for += STEP;
             }
             if self.nodes[node]
                 .fault
-                .is_some_and(|(kind, from, _)| kind == Fault::Ends && from == self.step)
+                .is_some_and(|(kind, from, _)| kind == Fault::Restarts && from == self.step)
             {
                 self.nodes[node].quotas =
                     Quotas::new(address(node), QuotaPolicy::Leased, tolerance());
@@ -156,10 +156,10 @@
         }
         self.deliver();
         for entry in entries {
-            if !self.is_away(*entry, Fault::Ends, self.step) {
+            if !self.has_fault(*entry, Fault::Restarts, self.step) {
                 let now = self.now(*entry);
                 let held = self.nodes[*entry].quotas.lease(&self.team, now);
-                held.lease.borrow_mut().note_demand(now);
+                held.lease.borrow_mut().record_demand(now);
                 self.nodes[*entry].waiting.push(self.step);
             }
         }
@@ -170,40 +170,42 @@
     }
 
     fn decide(&mut self, node: usize) {
-        let stands = [Fault::Ends, Fault::Freezes].map(|kind| self.is_away(node, kind, self.step));
-        let rests = self.nodes[node].waiting.is_empty() && self.step % NOTICE_STEPS != 0;
-        if stands.contains(&true) || rests {
+        let faults =
+            [Fault::Restarts, Fault::Pauses].map(|kind| self.has_fault(node, kind, self.step));
+        let is_idle = self.nodes[node].waiting.is_empty() && self.step % DETECTION_STEPS != 0;
+        if faults.contains(&true) || is_idle {
             return;
         }
         let now = self.now(node);
-        for (_, tokens) in self.nodes[node].quotas.take_unused(now) {
+        for (_, tokens) in self.nodes[node].quotas.take_expired(now) {
             self.send_to_owner(node, Message::Returned(tokens));
         }
         let waiting = std::mem::take(&mut self.nodes[node].waiting);
-        if let Some(held) = self.nodes[node].quotas.known_lease(&self.team) {
+        if let Some(held) = self.nodes[node].quotas.existing_lease(&self.team) {
             held.lease.borrow_mut().waiting = waiting.len() as u32;
         }
-        for came in waiting {
+        for arrived_step in waiting {
             match self.next_step(node, now) {
-                Step::Done(Standing::Admitted) => self.ran[self.step] += 1,
-                Step::Done(_) => self.refused += 1,
+                Step::Decided(Decision::Admitted) => self.admitted[self.step] += 1,
+                Step::Decided(_) => self.refused += 1,
                 Step::Ask(tokens) => {
                     self.send_to_owner(node, Message::Wanted(tokens));
-                    self.nodes[node].waiting.push(came);
+                    self.nodes[node].waiting.push(arrived_step);
                 }
-                Step::Wait => self.nodes[node].waiting.push(came),
-                Step::GoAlone => {
-                    let (start, nodes) = (tolerance().start(self.quota), self.nodes.len());
+                Step::Wait => self.nodes[node].waiting.push(arrived_step),
+                Step::UseEqualShare => {
+                    let (initial_tokens, nodes) =
+                        (tolerance().initial_tokens(self.quota), self.nodes.len());
                     let held = self.nodes[node].quotas.lease(&self.team, now);
-                    let standing = held.lease.borrow_mut().try_take_floor(
+                    let decision = held.lease.borrow_mut().try_take_equal_share(
                         self.quota,
-                        start,
+                        initial_tokens,
                         nodes,
                         now,
                         &mut self.rng,
                     );
-                    match standing {
-                        Standing::Admitted => self.ran[self.step] += 1,
+                    match decision {
+                        Decision::Admitted => self.admitted[self.step] += 1,
                         _ => self.refused += 1,
                     }
                 }
@@ -218,17 +220,17 @@
             return held.lease.borrow_mut().next_step(now);
         }
         let mut lease = held.lease.borrow_mut();
-        let standing = lease.try_take(now);
-        if standing != Standing::Unknown {
-            return Step::Done(standing);
+        let decision = lease.try_take(now);
+        if decision != Decision::Unknown {
+            return Step::Decided(decision);
         }
-        lease.take_grant(&quotas.grant(&self.team, self.quota, 1, now).unwrap(), 1, now);
-        Step::Done(lease.try_take(now))
+        lease.add_grant(&quotas.grant(&self.team, self.quota, 1, now).unwrap(), 1, now);
+        Step::Decided(lease.try_take(now))
     }
 
     fn send_to_owner(&mut self, node: usize, message: Message) {
         if let Some(owner) = self.nodes[node].quotas.owner(&self.team) {
-            let owner = number(owner);
+            let owner = index(owner);
             self.messages.push_back((self.step + DELAY_STEPS, node, owner, message));
         } else if let Message::Returned(tokens) = message {
             let now = self.now(node);
@@ -239,12 +241,12 @@
     fn deliver(&mut self) {
         let due = std::mem::take(&mut self.messages);
         for (at, from, to, message) in due {
-            let is_lost =
-                self.is_split(from, to, self.step) || self.is_away(to, Fault::Ends, self.step);
+            let is_lost = self.is_split(from, to, self.step)
+                || self.has_fault(to, Fault::Restarts, self.step);
             if is_lost {
                 continue;
             }
-            if at > self.step || self.is_away(to, Fault::Freezes, self.step) {
+            if at > self.step || self.has_fault(to, Fault::Pauses, self.step) {
                 self.messages.push_back((at, from, to, message));
                 continue;
             }
@@ -257,10 +259,10 @@
                     self.messages.push_back((self.step + DELAY_STEPS, to, from, answer));
                 }
                 Message::Granted(grant) => {
-                    let Some(held) = quotas.known_lease(&self.team) else { continue };
-                    let back = held.lease.borrow_mut().take_answer(grant, now);
-                    if back > 0 {
-                        self.send_to_owner(to, Message::Returned(back));
+                    let Some(held) = quotas.existing_lease(&self.team) else { continue };
+                    let late_tokens = held.lease.borrow_mut().handle_answer(grant, now);
+                    if late_tokens > 0 {
+                        self.send_to_owner(to, Message::Returned(late_tokens));
                     }
                 }
                 Message::Returned(tokens) => quotas.put_back(&self.team, tokens, now),
@@ -268,15 +270,15 @@
         }
     }
 
-    /// The most requests that ran within any window that ends after `from`.
-    fn busiest_window(&self, from: usize) -> u32 {
+    /// The most requests admitted within any window that starts at step `from` or later.
+    fn max_in_window(&self, from: usize) -> u32 {
         let steps = (WINDOW.as_millis() / STEP.as_millis()) as usize;
-        let windows = self.ran[from..].windows(steps);
+        let windows = self.admitted[from..].windows(steps);
         windows.map(|window| window.iter().sum()).max().unwrap_or(0)
     }
 
-    fn ran(&self, from: usize) -> u32 {
-        self.ran[from..].iter().sum()
+    fn admitted(&self, from: usize) -> u32 {
+        self.admitted[from..].iter().sum()
     }
 }
 
@@ -284,30 +286,35 @@
     (duration_s / STEP.as_secs_f64()) as usize
 }
 
-/// The most that may run within a window.
+/// The most requests that may be admitted within a window.
 fn bound(quota: Quota) -> f64 {
     let allowed = quota.per_s * WINDOW.as_secs_f64() + quota.burst;
     allowed * (1.0 + OVERAGE) + SLACK
 }
 
-/// Sends `per_s` requests a second for some seconds to entries that `pick` chooses.
-fn send(sim: &mut Sim, per_s: f64, for_s: f64, pick: impl Fn(&mut SmallRng, usize) -> usize) {
-    let mut owed = 0.0;
+/// Sends `per_s` requests per second for `for_s` seconds to the entry nodes that `pick` chooses.
+fn send(
+    simulation: &mut Simulation,
+    per_s: f64,
+    for_s: f64,
+    pick: impl Fn(&mut SmallRng, usize) -> usize,
+) {
+    let mut due = 0.0;
     for _ in 0..steps(for_s) {
-        owed += per_s * STEP.as_secs_f64();
+        due += per_s * STEP.as_secs_f64();
         let mut entries = Vec::new();
-        while owed >= 1.0 {
-            owed -= 1.0;
-            entries.push(pick(&mut sim.rng, sim.step));
+        while due >= 1.0 {
+            due -= 1.0;
+            entries.push(pick(&mut simulation.rng, simulation.step));
         }
-        sim.play(&entries);
+        simulation.run_step(&entries);
     }
 }
 
-/// Chooses the entry of a request that comes in a step.
-type Way<'a> = &'a dyn Fn(&mut SmallRng, usize) -> usize;
+/// Chooses the entry node of a request that arrives in a step.
+type EntryPattern<'a> = &'a dyn Fn(&mut SmallRng, usize) -> usize;
 
-/// Quotas of very different size, and fleets.
+/// Fleets and quotas of very different size.
 fn cases() -> impl Iterator<Item = (usize, Quota)> {
     let quota = |per_s: f64| Quota { per_s, burst: per_s };
     let sizes = [2, 16, 71, 300].into_iter();
@@ -315,67 +322,70 @@
 }
 
 #[test]
-fn a_team_that_asks_for_all_of_its_quota_gets_it_at_whichever_entries() {
+fn a_team_gets_its_full_quota_whichever_entries_it_uses() {
     for (nodes, quota) in cases() {
         let all = |rng: &mut SmallRng, _| rng.random_range(0..nodes);
         let one = |_: &mut SmallRng, _| 0;
         let moving = |_: &mut SmallRng, step: usize| step / steps(1.0) % nodes;
-        let ways: [Way<'_>; 3] = [&all, &one, &moving];
-        for (number, way) in ways.into_iter().enumerate() {
-            let mut sim = Sim::new(nodes, quota, 1);
-            // Ten times as much as it may, until the burst is used up.
-            send(&mut sim, quota.per_s * 10.0, 3.0, way);
-            let from = sim.step;
-            send(&mut sim, quota.per_s * 4.0, 10.0, way);
-            let used = f64::from(sim.ran(from)) / (quota.per_s * 10.0);
-            assert!(used >= 0.97, "{nodes} nodes, {quota:?}, way {number}: {used:.3} used");
-            let busiest = f64::from(sim.busiest_window(0));
-            assert!(busiest <= bound(quota), "{nodes} nodes, {quota:?}, way {number}: {busiest}");
+        let patterns: [EntryPattern<'_>; 3] = [&all, &one, &moving];
+        for (index, pattern) in patterns.into_iter().enumerate() {
+            let mut simulation = Simulation::new(nodes, quota, 1);
+            // Ten times the quota, until the burst is used up.
+            send(&mut simulation, quota.per_s * 10.0, 3.0, pattern);
+            let from = simulation.step;
+            send(&mut simulation, quota.per_s * 4.0, 10.0, pattern);
+            let used = f64::from(simulation.admitted(from)) / (quota.per_s * 10.0);
+            assert!(used >= 0.97, "{nodes} nodes, {quota:?}, pattern {index}: {used:.3} used");
+            let max_admitted = f64::from(simulation.max_in_window(0));
+            assert!(
+                max_admitted <= bound(quota),
+                "{nodes} nodes, {quota:?}, pattern {index}: {max_admitted}"
+            );
         }
     }
 }
 
 #[test]
-fn what_is_within_the_quota_is_not_refused() {
+fn requests_within_the_quota_are_not_refused() {
     for (nodes, quota) in cases() {
-        let mut sim = Sim::new(nodes, quota, 2);
-        send(&mut sim, 0.0, 2.0, |_, _| 0);
-        send(&mut sim, quota.per_s * 0.8, 10.0, |rng, _| rng.random_range(0..nodes));
-        assert_eq!(sim.refused, 0, "{nodes} nodes, {quota:?}");
+        let mut simulation = Simulation::new(nodes, quota, 2);
+        send(&mut simulation, 0.0, 2.0, |_, _| 0);
+        send(&mut simulation, quota.per_s * 0.8, 10.0, |rng, _| rng.random_range(0..nodes));
+        assert_eq!(simulation.refused, 0, "{nodes} nodes, {quota:?}");
     }
 }
 
 #[test]
-fn quotas_hold_while_nodes_end_stand_still_and_are_cut_off() {
+fn quotas_hold_while_nodes_restart_pause_and_are_partitioned() {
     for seed in 0..12 {
         for (nodes, quota) in cases() {
-            // Larger fleets take as much longer.
+            // Fewer seeds for larger fleets, which take proportionally longer.
             if seed >= (200 / nodes).max(1) {
                 continue;
             }
-            let mut sim = Sim::new(nodes, quota, seed as u64);
+            let mut simulation = Simulation::new(nodes, quota, seed as u64);
             let mut rng = SmallRng::seed_from_u64(seed as u64);
-            let owner = sim.nodes[0].quotas.owner(&sim.team);
-            let owner = owner.map(number);
+            let owner = simulation.nodes[0].quotas.owner(&simulation.team);
+            let owner = owner.map(index);
             for node in 0..nodes {
-                // The owner fares worst; half of the others fare badly too on every other seed.
-                let fares_badly = Some(node) == owner || seed % 2 == 0 && rng.random::<f64>() < 0.5;
-                if fares_badly {
+                // The owner always has a fault; with every other seed, so has each other node with probability 1/2.
+                let has_fault = Some(node) == owner || seed % 2 == 0 && rng.random::<f64>() < 0.5;
+                if has_fault {
                     let from = steps(rng.random_range(2.0..6.0));
-                    let fault = if rng.random() { Fault::Ends } else { Fault::Freezes };
-                    sim.nodes[node].fault =
+                    let fault = if rng.random() { Fault::Restarts } else { Fault::Pauses };
+                    simulation.nodes[node].fault =
                         Some((fault, from, from + steps(rng.random_range(0.2..3.0))));
                 }
             }
             if seed % 3 == 0 {
-                sim.split = Some((steps(3.0), steps(9.0)));
+                simulation.split = Some((steps(3.0), steps(9.0)));
             }
             let factor = rng.random_range(0.5..8.0);
-            send(&mut sim, quota.per_s * factor, 14.0, |rng, _| rng.random_range(0..nodes));
-            let busiest = f64::from(sim.busiest_window(0));
+            send(&mut simulation, quota.per_s * factor, 14.0, |rng, _| rng.random_range(0..nodes));
+            let max_admitted = f64::from(simulation.max_in_window(0));
             assert!(
-                busiest <= bound(quota),
-                "seed {seed}, {nodes} nodes, {quota:?}: {busiest} of {}",
+                max_admitted <= bound(quota),
+                "seed {seed}, {nodes} nodes, {quota:?}: {max_admitted} of {}",
                 bound(quota)
             );
         }
@@ -383,14 +393,17 @@
 }
 
 #[test]
-fn a_limit_that_is_lowered_binds_after_one_window() {
+fn a_lowered_quota_applies_within_300_ms() {
     for (nodes, quota) in cases() {
-        let mut sim = Sim::new(nodes, quota, 3);
-        send(&mut sim, quota.per_s * 2.0, 4.0, |rng, _| rng.random_range(0..nodes));
-        sim.quota = Quota { per_s: quota.per_s / 5.0, burst: quota.burst / 5.0 };
-        let lowered = sim.step + steps(0.3);
-        send(&mut sim, quota.per_s * 2.0, 9.0, |rng, _| rng.random_range(0..nodes));
-        let busiest = f64::from(sim.busiest_window(lowered));
-        assert!(busiest <= bound(sim.quota), "{nodes} nodes, {quota:?}: {busiest}");
+        let mut simulation = Simulation::new(nodes, quota, 3);
+        send(&mut simulation, quota.per_s * 2.0, 4.0, |rng, _| rng.random_range(0..nodes));
+        simulation.quota = Quota { per_s: quota.per_s / 5.0, burst: quota.burst / 5.0 };
+        let lowered = simulation.step + steps(0.3);
+        send(&mut simulation, quota.per_s * 2.0, 9.0, |rng, _| rng.random_range(0..nodes));
+        let max_admitted = f64::from(simulation.max_in_window(lowered));
+        assert!(
+            max_admitted <= bound(simulation.quota),
+            "{nodes} nodes, {quota:?}: {max_admitted}"
+        );
     }
 }
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -32,7 +32,7 @@
     assert_eq!(site.limits.idle_timeout_ms, 15_000);
     assert_eq!(site.limits.head_max_bytes, 16_384);
     assert!(upload.needs_no_key && !split.needs_no_key);
-    let growers = site.teams.holder(b"old-key").unwrap();
+    let growers = site.teams.team_by_key(b"old-key").unwrap();
     assert_eq!((&*growers.name, growers.rank), ("growers", Some(1)));
     assert_eq!(growers.quota, Some(Quota { per_s: 368.0, burst: 184.5 }));
     assert_eq!(site.teams.team("buyers").unwrap().quota, None);
