--- a/extra/aspenspring.fish
+++ b/extra/aspenspring.fish
@@ -43,7 +43,7 @@
 
 complete -c aspenspring -n '__fish_aspenspring_using_command' -f -l help -d 'display usage information'
 complete -c aspenspring -n '__fish_aspenspring_using_command' -f -a 'node' -d 'Run the node beside one target until it is told to leave.'
-complete -c aspenspring -n '__fish_aspenspring_using_command' -f -a 'mesh' -d 'Run the node beside one target on the users\' platform, until it is told to stop. Its settings are in the file that the environment variable `ASPENSPRING_CONFIG` names.'
+complete -c aspenspring -n '__fish_aspenspring_using_command' -f -a 'mesh' -d 'Run the mesh node of one target on the users\' platform until it is signalled to stop. The environment variable `ASPENSPRING_CONFIG` contains the path of its settings file.'
 complete -c aspenspring -n '__fish_aspenspring_using_command' -f -a 'check' -d 'Check settings, or rules alone, and name everything that is wrong.'
 complete -c aspenspring -n '__fish_aspenspring_using_command' -f -a 'settings' -d 'Print the settings in effect with the origin of each value.'
 complete -c aspenspring -n '__fish_aspenspring_using_command' -f -a 'submit' -d 'Submit a configuration for all sites; it comes into force everywhere, or is refused.'
--- a/src/cli/mesh.rs
+++ b/src/cli/mesh.rs
@@ -1,9 +1,9 @@
-//! The command `mesh`.
+//! The `mesh` command.
 
 use argh::{ArgsInfo, FromArgs};
 
-/// Run the node beside one target on the users' platform, until it is told to stop. Its settings are
-/// in the file that the environment variable `ASPENSPRING_CONFIG` names.
+/// Run the mesh node of one target on the users' platform until it is signalled to stop. The environment
+/// variable `ASPENSPRING_CONFIG` contains the path of its settings file.
 #[derive(Debug, FromArgs, ArgsInfo)]
 #[argh(subcommand, name = "mesh")]
 pub struct MeshArgs {}
