--- a/src/platform/document.rs
+++ b/src/platform/document.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration as it lies in the store.
+//! Parses the operator's configuration document from the platform's store.
 
 use std::collections::HashSet;
 
@@ -8,7 +8,7 @@
 use crate::mesh::site::{Limits, Route, RouteKind, Share, Site};
 use crate::mesh::teams::roster::{Quota, Roster, Team};
 
-/// The letter before the number of a version.
+/// The prefix of a version number, as in `r12`.
 const VERSION_PREFIX: char = 'r';
 
 #[derive(Deserialize)]
@@ -17,7 +17,7 @@
     resources: Vec<Resource>,
 }
 
-/// One entry; which kind it is decides what `specification` holds.
+/// One resource; `resource_kind` determines the fields of `specification`.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Resource {
@@ -81,7 +81,7 @@
     idle_timeout_ms: u64,
 }
 
-/// Reads a configuration.
+/// Parses a configuration document.
 pub fn read_document(bytes: &[u8]) -> eyre::Result<Site> {
     let document: Document = serde_json::from_slice(bytes)?;
     let version = read_version(&document.version)?;
@@ -101,7 +101,7 @@
             "services" => {
                 services.insert(name);
             }
-            // Kinds that the platform may add concern nobody here.
+            // Kinds that the platform adds later are ignored.
             _ => {}
         }
     }
@@ -115,43 +115,44 @@
 }
 
 fn read_route(name: &str, specification: serde_json::Value) -> eyre::Result<Route> {
-    let found: RouteSpecification = serde_json::from_value(specification)?;
+    let spec: RouteSpecification = serde_json::from_value(specification)?;
     let mut split = Vec::new();
-    for entry in found.traffic_split {
+    for entry in spec.traffic_split {
         split.push(Share { service: entry.service, weight: entry.weight });
     }
     if split.is_empty() {
-        let service = found.service.ok_or_else(|| eyre!("it leads to no service"))?;
+        let service =
+            spec.service.ok_or_else(|| eyre!("it has neither a service nor a traffic split"))?;
         split.push(Share { service, weight: 1 });
     }
     Ok(Route {
         name: name.into(),
-        host: found.host.to_ascii_lowercase(),
-        prefix: found.prefix,
-        kind: read_kind(&found.kind),
-        timeout_ms: found.timeout_ms,
-        objective_ms: found.target_latency_ms,
-        rank: found.priority,
-        attempts_max: found.attempts.max(1),
-        needs_no_key: found.allow_anonymous,
+        host: spec.host.to_ascii_lowercase(),
+        prefix: spec.prefix,
+        kind: read_kind(&spec.kind),
+        timeout_ms: spec.timeout_ms,
+        objective_ms: spec.target_latency_ms,
+        rank: spec.priority,
+        attempts_max: spec.attempts.max(1),
+        needs_no_key: spec.allow_anonymous,
         split,
     })
 }
 
-/// Reads a team with its keys. What is wrong with it is not told in full, as keys stand in it.
+/// Reads a team and its keys. Errors omit the cause, which may quote keys.
 fn read_team(name: &str, specification: serde_json::Value) -> eyre::Result<(Team, Vec<String>)> {
-    let found: TenantSpecification = serde_json::from_value(specification)
-        .map_err(|_| eyre!("the team {name:?} has fields that cannot be read"))?;
-    if !found.rate_per_s.is_finite() || !found.burst.is_finite() || found.burst < 0.0 {
-        return Err(eyre!("the team {name:?} has a quota that is no quota"));
+    let spec: TenantSpecification = serde_json::from_value(specification)
+        .map_err(|_| eyre!("the team {name:?} has missing or invalid fields"))?;
+    if !spec.rate_per_s.is_finite() || !spec.burst.is_finite() || spec.burst < 0.0 {
+        return Err(eyre!("the team {name:?} has an invalid quota"));
     }
     let quota =
-        (found.rate_per_s > 0.0).then_some(Quota { per_s: found.rate_per_s, burst: found.burst });
-    let team = Team { name: name.into(), rank: found.priority, quota };
-    Ok((team, found.api_keys))
+        (spec.rate_per_s > 0.0).then_some(Quota { per_s: spec.rate_per_s, burst: spec.burst });
+    let team = Team { name: name.into(), rank: spec.priority, quota };
+    Ok((team, spec.api_keys))
 }
 
-/// What is not named as idempotent runs once at most.
+/// Requests of any kind other than `idempotent` run at most once.
 fn read_kind(kind: &str) -> RouteKind {
     match kind {
         "idempotent" => RouteKind::Idempotent,
@@ -160,11 +161,11 @@
 }
 
 fn read_limits(specification: serde_json::Value) -> eyre::Result<Limits> {
-    let found: LimitsSpecification = serde_json::from_value(specification)?;
+    let spec: LimitsSpecification = serde_json::from_value(specification)?;
     Ok(Limits {
-        head_max_bytes: found.max_header_bytes,
-        body_max_bytes: found.max_body_bytes,
-        head_timeout_ms: found.header_timeout_ms,
-        idle_timeout_ms: found.idle_timeout_ms,
+        head_max_bytes: spec.max_header_bytes,
+        body_max_bytes: spec.max_body_bytes,
+        head_timeout_ms: spec.header_timeout_ms,
+        idle_timeout_ms: spec.idle_timeout_ms,
     })
 }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -1,10 +1,10 @@
-//! The platform's names of headers.
+//! Names of the HTTP headers defined by the platform.
 
 use http::HeaderName;
 
 use crate::mesh::vocabulary::Vocabulary;
 
-/// The headers by what they mean.
+/// The header names by meaning.
 pub fn vocabulary() -> Vocabulary {
     Vocabulary {
         attempt_id: HeaderName::from_static("attempt-id"),
--- a/src/platform/heartbeat.rs
+++ b/src/platform/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What the target beside the node says about itself.
+//! HTTP listener for heartbeats and deregistrations of the node's target.
 
 use std::io;
 use std::rc::Rc;
@@ -17,25 +17,25 @@
 use crate::mesh::socket;
 use crate::mesh::target::{Heartbeat, TargetState};
 
-/// The path of a heartbeat, before the id of the incarnation.
+/// The path prefix of a heartbeat; the id of the incarnation follows.
 const HEARTBEAT_PATH: &str = "/aspenspring/Instances.Heartbeat/";
-/// The path of a farewell, before the id of the incarnation.
+/// The path prefix of a deregistration; the id of the incarnation follows.
 const DEREGISTER_PATH: &str = "/aspenspring/Instances.Deregister/";
-/// The longest body that is read, in bytes.
+/// The maximum length of a request body.
 const BODY_MAX_BYTES: usize = 64 * 1024;
 
 #[derive(Deserialize)]
-struct Body {
-    /// When this life of the target began, in Unix milliseconds. Not every target tells.
+struct HeartbeatBody {
+    /// When this incarnation of the target started, in Unix milliseconds; 0 if the target does not report it.
     #[serde(default)]
     born: u64,
     information: Information,
     status: Status,
 }
 
-/// The body of a farewell; it may be empty.
+/// The body of a deregistration; it may be empty.
 #[derive(Default, Deserialize)]
-struct Farewell {
+struct DeregistrationBody {
     #[serde(default)]
     born: u64,
 }
@@ -62,7 +62,7 @@
     Draining,
 }
 
-/// Listens for the target.
+/// Starts the listener.
 pub fn start(node: &Rc<Node>) -> io::Result<()> {
     let listener = socket::listen(node.settings.listen.targets)?;
     let log = node.log.clone();
@@ -79,7 +79,7 @@
     if request.method() != Method::POST {
         return status_only(404);
     }
-    let (id, is_farewell) = match path.strip_prefix(DEREGISTER_PATH) {
+    let (id, is_deregistration) = match path.strip_prefix(DEREGISTER_PATH) {
         Some(id) => (id, true),
         None => match path.strip_prefix(HEARTBEAT_PATH) {
             Some(id) => (id, false),
@@ -89,9 +89,13 @@
     let body = Limited::new(request.into_body(), BODY_MAX_BYTES).collect().await;
     let Ok(body) = body else { return status_only(400) };
     let body = body.to_bytes();
-    let taken = if is_farewell { take_farewell(node, id, &body) } else { take(node, id, &body) };
-    match taken {
-        Ok(()) => accepted(),
+    let result = if is_deregistration {
+        handle_deregistration(node, id, &body)
+    } else {
+        handle_heartbeat(node, id, &body)
+    };
+    match result {
+        Ok(()) => accepted_response(),
         Err(error) => {
             let detail = format!("{id}: {error:#}");
             node.log.emit(&LogEvent::InputRefused { input: "heartbeat", detail });
@@ -100,24 +104,24 @@
     }
 }
 
-/// Takes in that a target is about to end.
-fn take_farewell(node: &Node, id: &str, body: &[u8]) -> eyre::Result<()> {
-    let farewell =
-        if body.is_empty() { Farewell::default() } else { serde_json::from_slice(body)? };
-    let incarnation = Incarnation { id: id.to_owned(), started_unix_ms: farewell.born };
+/// Handles a deregistration, by which a target announces that it is about to end.
+fn handle_deregistration(node: &Node, id: &str, body: &[u8]) -> eyre::Result<()> {
+    let deregistration =
+        if body.is_empty() { DeregistrationBody::default() } else { serde_json::from_slice(body)? };
+    let incarnation = Incarnation { id: id.to_owned(), started_unix_ms: deregistration.born };
     if node.target.leave(&incarnation) {
         node.target_changed("farewell");
     }
     Ok(())
 }
 
-/// Takes in a heartbeat.
-fn take(node: &Node, id: &str, body: &[u8]) -> eyre::Result<()> {
-    let body: Body = serde_json::from_slice(body)?;
-    node.take_heartbeat(&heartbeat(id, body))
+/// Handles a heartbeat.
+fn handle_heartbeat(node: &Node, id: &str, body: &[u8]) -> eyre::Result<()> {
+    let body: HeartbeatBody = serde_json::from_slice(body)?;
+    node.take_heartbeat(&to_heartbeat(id, body))
 }
 
-fn heartbeat(id: &str, body: Body) -> Heartbeat {
+fn to_heartbeat(id: &str, body: HeartbeatBody) -> Heartbeat {
     let state = match body.status.state {
         State::Ready => TargetState::Ready,
         State::Draining => TargetState::Draining,
@@ -132,7 +136,7 @@
     }
 }
 
-fn accepted() -> Response<Full<Bytes>> {
+fn accepted_response() -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(b"{}")));
     let json = http::HeaderValue::from_static("application/json");
     response.headers_mut().insert(http::header::CONTENT_TYPE, json);
--- a/src/platform/members.rs
+++ b/src/platform/members.rs
@@ -1,7 +1,7 @@
-//! Finds the other nodes through the store, and what all nodes have to know that start.
+//! Discovers the other nodes and the quarantined requests through the store, at the start of a node.
 //!
-//! Each node writes one row and then reads all rows. Of two nodes that start at once the one that
-//! reads later sees the other, and calls it; so no node has to follow the table.
+//! Each node writes its own row and then reads all rows. Of two nodes that start at the same time, the one that
+//! reads later sees the other and connects to it, so no node has to watch the table.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,76 +11,77 @@
 use rand::Rng;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::holds;
+use super::quarantine;
 use super::store::{Row, Store};
 use crate::event::LogEvent;
 use crate::mesh::blame;
 use crate::mesh::node::Node;
 use crate::mesh::peers;
 
-/// The table of the nodes; the key is a node's address, the value its failure domain. `holds` has rows in it.
+/// The table of nodes: the key is a node's address, the value its failure domain. Also contains the rows of
+/// [`quarantine`].
 pub const TABLE: &str = "nodes";
-/// How long the rows may take.
+/// The timeout of a read of rows.
 const READ_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The pause between two failed calls, at first.
-const PAUSE_MIN: Duration = Duration::from_millis(100);
-/// The longest pause between two failed calls. Counted from when the first of them was made: a node that
-/// starts while the store is silent asks again when its call has taken its 2.5 s, not up to 3 s later.
-const PAUSE_MAX: Duration = Duration::from_secs(2);
-/// How long after reading the rows a node counts as acquainted.
-const ACQUAINT: Duration = Duration::from_millis(150);
-/// A node that has the configuration, from another node, but cannot reach the store is ready then.
-const WITHOUT_STORE: Duration = Duration::from_secs(2);
+/// The initial retry interval.
+const BACKOFF_MIN: Duration = Duration::from_millis(100);
+/// The maximum retry interval. Counted from the start of the failed call, so that a node that starts while the
+/// store does not answer retries as soon as its call has timed out after 2.5 s, not up to 3 s later.
+const BACKOFF_MAX: Duration = Duration::from_secs(2);
+/// The time allowed for connecting to the other nodes after reading the rows, before the node is ready.
+const CONNECT_TIME: Duration = Duration::from_millis(150);
+/// A node that cannot reach the store but has the configuration from another node is ready after this time.
+const READY_WITHOUT_STORE_AFTER: Duration = Duration::from_secs(2);
 
-/// Makes this node known and meets all others.
+/// Registers this node and connects to all others. Retries until the store has answered.
 pub async fn join(node: Rc<Node>, address: SocketAddr) {
     let started = Instant::now();
     let mut store = Store::new(address);
-    let mut pause = PAUSE_MIN;
-    let mut asked = started;
-    while let Err(error) = announce(&node, &mut store).await {
-        let detail = format!("the list of nodes: {error:#}");
-        let asked_ms = asked.elapsed().as_millis() as u64;
+    let mut backoff = BACKOFF_MIN;
+    let mut attempted_at = started;
+    while let Err(error) = register_and_read(&node, &mut store).await {
+        let detail = format!("cannot register in the list of nodes or read it: {error:#}");
+        let asked_ms = attempted_at.elapsed().as_millis() as u64;
         node.log.emit(&LogEvent::StoreAway { store: "table", detail, asked_ms });
-        if started.elapsed() > WITHOUT_STORE {
+        if started.elapsed() > READY_WITHOUT_STORE_AFTER {
             node.has_looked_around.set(true);
         }
-        let spread = rand::rng().random_range(0.5..1.5);
-        sleep_until(asked + pause.mul_f64(spread)).await;
-        pause = (pause * 2).min(PAUSE_MAX);
-        asked = Instant::now();
+        let jitter = rand::rng().random_range(0.5..1.5);
+        sleep_until(attempted_at + backoff.mul_f64(jitter)).await;
+        backoff = (backoff * 2).min(BACKOFF_MAX);
+        attempted_at = Instant::now();
     }
     node.has_read_nodes.set(true);
-    sleep(ACQUAINT).await;
+    sleep(CONNECT_TIME).await;
     node.has_looked_around.set(true);
 }
 
-async fn announce(node: &Rc<Node>, store: &mut Store) -> eyre::Result<()> {
-    let own = &node.settings;
-    let key = own.listen.peers.to_string();
-    store.put(TABLE, &key, own.node.failure_domain.as_bytes()).await?;
+async fn register_and_read(node: &Rc<Node>, store: &mut Store) -> eyre::Result<()> {
+    let settings = &node.settings;
+    let key = settings.listen.peers.to_string();
+    store.put(TABLE, &key, settings.node.failure_domain.as_bytes()).await?;
     let mut from = String::new();
     loop {
-        let found = store.rows(TABLE, &from, READ_TIMEOUT).await?;
+        let page = store.rows(TABLE, &from, READ_TIMEOUT).await?;
         let mut last = None;
-        for row in &found.rows {
-            if let Err(error) = take(node, row) {
-                let detail = format!("a row of {TABLE}: {error:#}");
+        for row in &page.rows {
+            if let Err(error) = apply_row(node, row) {
+                let detail = format!("invalid row in the table {TABLE}: {error:#}");
                 node.log.emit(&LogEvent::InputRefused { input: "row", detail });
             }
             last = row.as_ref().ok().or(last);
         }
-        let Some(last) = last.filter(|_| found.has_more) else { return Ok(()) };
-        // The smallest key that follows the last one.
+        let Some(last) = last.filter(|_| page.has_more) else { return Ok(()) };
+        // The range start is inclusive.
         from = format!("{}~", last.key);
     }
 }
 
-/// Meets the node that a row names, or takes in what else it tells.
-fn take(node: &Rc<Node>, row: &Result<Row, String>) -> eyre::Result<()> {
+/// Connects to the node of a row, or applies the quarantine entry in it.
+fn apply_row(node: &Rc<Node>, row: &Result<Row, String>) -> eyre::Result<()> {
     let row = row.as_ref().map_err(|error| eyre!("{error}"))?;
-    if let Some(held) = holds::read(row)? {
-        blame::take_suspicions(node, &[held], "table");
+    if let Some(suspicion) = quarantine::parse_row(row)? {
+        blame::take_suspicions(node, &[suspicion], "table");
         return Ok(());
     }
     let failure_domain = String::from_utf8(row.value()?)?;
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,11 +1,11 @@
-//! The adapter to the users' platform: translates its settings, headers, heartbeats, configuration
-//! and metadata store. It decides nothing.
+//! Adapter to the users' platform: translates its settings, headers, heartbeats, configuration and metadata
+//! store into the types of the mesh node. It contains no decision logic.
 
 mod document;
+mod headers;
 mod heartbeat;
-mod holds;
 mod members;
-mod names;
+mod quarantine;
 mod settings;
 mod store;
 mod watch;
@@ -32,28 +32,28 @@
         .ok_or_else(|| eyre::eyre!("the environment variable {SETTINGS_ENV} is not set"))?;
     let path = PathBuf::from(path);
     let settings = settings::read(&path)?;
-    end_at_panic();
+    abort_on_panic();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .wrap_err("the runtime cannot be started")?;
+        .wrap_err("cannot start the async runtime")?;
     LocalSet::new().block_on(&runtime, run_node(path, settings))
 }
 
-/// Ends the process at a panic: a node whose task is gone must not look alive.
-fn end_at_panic() {
-    let report = std::panic::take_hook();
+/// Aborts the process on a panic, so that a node does not appear healthy after one of its tasks has ended.
+fn abort_on_panic() {
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
-        report(panic);
+        default_hook(panic);
         std::process::abort();
     }));
 }
 
-/// Reads the settings file again. What a node was told at its start holds until its next start, so
-/// all that can be done is to say whether the file is valid.
+/// Reads the settings file again and logs whether it is valid. Settings apply at the start of a node only, so
+/// changes take effect at the next start.
 fn check_settings(path: &Path, node: &Node) {
     let (outcome, detail) = match settings::read(path) {
-        Ok(read) if read.mesh == node.settings => ("unchanged", String::new()),
+        Ok(settings) if settings.mesh == node.settings => ("unchanged", String::new()),
         Ok(_) => ("from_next_start", String::new()),
         Err(error) => ("refused", format!("{error:#}")),
     };
@@ -72,12 +72,12 @@
         version: env!("CARGO_PKG_VERSION"),
         address: mesh.listen.peers,
     });
-    let node = Rc::new(Node::new(mesh, names::vocabulary(), Box::new(read_document), log));
-    launch::start(&node).wrap_err("the node cannot listen")?;
-    heartbeat::start(&node).wrap_err("the node cannot listen for its target")?;
+    let node = Rc::new(Node::new(mesh, headers::vocabulary(), Box::new(read_document), log));
+    launch::start(&node).wrap_err("cannot open the listeners")?;
+    heartbeat::start(&node).wrap_err("cannot listen for heartbeats of the target")?;
     spawn_local(watch::watch_site(Rc::clone(&node), store.address));
     spawn_local(members::join(Rc::clone(&node), store.address));
-    spawn_local(holds::keep(Rc::clone(&node), store.address));
+    spawn_local(quarantine::persist(Rc::clone(&node), store.address));
     let on_reload = || check_settings(&path, &node);
-    launch::run_until_stopped(&node, on_reload).await.wrap_err("signals cannot be heard")
+    launch::run_until_stopped(&node, on_reload).await.wrap_err("cannot install signal handlers")
 }
--- a/src/platform/quarantine.rs
+++ b/src/platform/quarantine.rs
@@ -1,6 +1,6 @@
-//! Keeps in the store which requests are held back, so that nodes know it that all start anew.
+//! Persists quarantined requests in the store, so that they stay quarantined when all nodes restart at once.
 //!
-//! The rows stand in the table of the nodes, which each node reads at its start: knowing them takes no call more.
+//! The rows are in the table of nodes, which each node reads at its start, so reading them needs no extra call.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,13 +16,13 @@
 use crate::mesh::frame::Suspicion;
 use crate::mesh::node::Node;
 
-/// What the keys of these rows begin with; the rest is a fingerprint, the value how often it was held back.
+/// The key prefix of these rows. The rest of the key is a fingerprint; the value is how often it was quarantined.
 const KEY_PREFIX: &str = "held-";
-/// The pause after a write that failed.
-const PAUSE: Duration = Duration::from_secs(1);
+/// The average pause after a failed write.
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Writes down what is held back, and drops what no longer is, for as long as the node runs.
-pub async fn keep(node: Rc<Node>, address: SocketAddr) {
+/// Writes rows of quarantined requests and removes those of released ones, for as long as the node runs.
+pub async fn persist(node: Rc<Node>, address: SocketAddr) {
     let mut store = Store::new(address);
     loop {
         let Some((fingerprint, holds)) = node.quarantine.next_unsaved() else {
@@ -30,8 +30,8 @@
             continue;
         };
         if write(&mut store, fingerprint, holds).await.is_err() {
-            let spread = rand::rng().random_range(0.5..1.5);
-            sleep(PAUSE.mul_f64(spread)).await;
+            let jitter = rand::rng().random_range(0.5..1.5);
+            sleep(RETRY_PAUSE.mul_f64(jitter)).await;
             continue;
         }
         node.quarantine.note_saved();
@@ -46,14 +46,15 @@
     }
 }
 
-/// What a row tells of a request that is held back; none where it is about something else.
+/// Parses the row of a quarantined request; none for rows of other kinds.
 ///
 /// # Errors
 ///
-/// The key or the value makes no sense.
-pub fn read(row: &Row) -> eyre::Result<Option<Suspicion>> {
+/// The key or the value is malformed.
+pub fn parse_row(row: &Row) -> eyre::Result<Option<Suspicion>> {
     let Some(fingerprint) = row.key.strip_prefix(KEY_PREFIX) else { return Ok(None) };
-    let fingerprint = Fingerprint::parse(fingerprint).ok_or_eyre("no fingerprint")?;
+    let fingerprint =
+        Fingerprint::parse(fingerprint).ok_or_eyre("the key has no valid fingerprint")?;
     let value = String::from_utf8(row.value()?)?;
     let holds = value.parse().wrap_err("the number of holds")?;
     Ok(Some(Suspicion { fingerprint, crashes: 0, holds }))
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: the platform fills in `deploy/node.json`, a template in the product's names.
+//! Reads the settings file, which the platform generates from the template `deploy/node.json`.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,33 +10,33 @@
 
 use crate::mesh::settings::MeshSettings;
 
-/// The environment variable that holds the path of the settings file.
+/// The environment variable with the path of the settings file.
 pub const SETTINGS_ENV: &str = "ASPENSPRING_CONFIG";
 
-/// The bound that is there where teams have quotas.
+/// The bound that is present if teams have quotas.
 const QUOTA_WINDOW: &str = "quotaWindowS";
 
-/// What the settings file holds.
+/// The contents of the settings file.
 #[derive(Clone, Debug, Deserialize)]
 pub struct PlatformSettings {
-    /// What the node itself is told.
+    /// The settings of the mesh node.
     #[serde(flatten)]
     pub mesh: MeshSettings,
-    /// The platform's store.
+    /// The platform's metadata store.
     pub store: StoreSettings,
 }
 
-/// The platform's store.
+/// The settings of the platform's metadata store.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct StoreSettings {
-    /// Its address.
+    /// The address of the store.
     pub address: SocketAddr,
 }
 
-/// The file as the template writes it.
+/// The file in the form of the template.
 #[derive(Deserialize)]
-struct Written {
-    /// The figures of the rules, by name.
+struct SettingsFile {
+    /// The platform's bounds (limits and tolerances), by name.
     bounds: HashMap<String, Value>,
     #[serde(flatten)]
     rest: serde_json::Map<String, Value>,
@@ -45,13 +45,13 @@
 /// Reads the settings file.
 pub fn read(path: &Path) -> eyre::Result<PlatformSettings> {
     let text = std::fs::read_to_string(path)
-        .wrap_err_with(|| format!("the settings file {} cannot be read", path.display()))?;
-    parse(&text).wrap_err_with(|| format!("the settings file {} is not valid", path.display()))
+        .wrap_err_with(|| format!("cannot read the settings file {}", path.display()))?;
+    parse(&text).wrap_err_with(|| format!("invalid settings file {}", path.display()))
 }
 
-/// Reads settings as the template writes them.
+/// Parses settings in the form of the template.
 pub fn parse(text: &str) -> eyre::Result<PlatformSettings> {
-    let Written { bounds, mut rest } = serde_json::from_str(text)?;
+    let SettingsFile { bounds, mut rest } = serde_json::from_str(text)?;
     rest.insert(
         "timing".to_owned(),
         serde_json::json!({ "stop_grace_ms": (bound(&bounds, "graceS")? * 1000.0) as u64 }),
@@ -75,5 +75,5 @@
 /// The value of a bound.
 fn bound(bounds: &HashMap<String, Value>, name: &str) -> eyre::Result<f64> {
     let value = bounds.get(name).ok_or_else(|| eyre!("the bound {name} is missing"))?;
-    value.as_f64().ok_or_else(|| eyre!("the bound {name} is {value}, which is no number"))
+    value.as_f64().ok_or_else(|| eyre!("the bound {name} is {value}, which is not a number"))
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's metadata store.
+//! HTTP client for the platform's metadata store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,46 +14,46 @@
 use crate::mesh::http1::{Connection, ExchangeError, Reply};
 use crate::mesh::inquiry::Question;
 
-/// How long the answer to a write may take.
+/// The timeout of a write.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// A row.
+/// A row of a table.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Row {
-    /// Its key.
+    /// The key.
     pub key: String,
-    /// Its value in base64; missing where the row was dropped.
+    /// The value in base64; missing if the row was deleted.
     #[serde(default)]
     value: String,
-    /// Whether the row was dropped.
+    /// Whether the row was deleted.
     #[serde(default)]
     pub deleted: bool,
 }
 
 impl Row {
-    /// The value.
+    /// The decoded value.
     pub fn value(&self) -> eyre::Result<Vec<u8>> {
         STANDARD.decode(&self.value).wrap_err_with(|| format!("the value of the row {}", self.key))
     }
 }
 
-/// Rows, and the version of the store at which they were read.
+/// Rows and the version of the store at which they were read.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Rows {
-    /// The rows; one that cannot be read is an error of its own, and the others hold.
-    #[serde(deserialize_with = "each_row")]
+    /// The rows. A malformed row is an error in its place and does not affect the others.
+    #[serde(deserialize_with = "deserialize_rows")]
     pub rows: Vec<Result<Row, String>>,
-    /// The newest version of any row of the store.
+    /// The version of the most recent change in the store.
     pub row_version: u64,
-    /// Whether there are more rows behind these.
+    /// Whether more rows follow.
     #[serde(default)]
     pub has_more: bool,
 }
 
-/// Reads each row by itself: anybody may write into a table.
-fn each_row<'de, D>(deserializer: D) -> Result<Vec<Result<Row, String>>, D::Error>
+/// Parses each row separately, as other writers may put malformed rows into a table.
+fn deserialize_rows<'de, D>(deserializer: D) -> Result<Vec<Result<Row, String>>, D::Error>
 where
     D: Deserializer<'de>,
 {
@@ -64,16 +64,16 @@
     Ok(rows)
 }
 
-/// What changed in a table.
+/// The changes of a table.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Changes {
-    /// The rows that changed, in order.
+    /// The changed rows, in order.
     Rows(Rows),
-    /// The store no longer knows what has changed since.
+    /// The store no longer has the history since the given version.
     HistoryGone,
 }
 
-/// A row to be written.
+/// A row to write.
 #[derive(Serialize)]
 struct Put<'a> {
     table: &'a str,
@@ -82,7 +82,7 @@
     value: String,
 }
 
-/// A client with one kept connection.
+/// A client that keeps one connection open.
 #[derive(Debug)]
 pub struct Store {
     address: SocketAddr,
@@ -90,25 +90,26 @@
 }
 
 impl Store {
-    /// A client of the store at `address`.
+    /// A client for the store at `address`; connects at the first request.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, connection: None }
     }
 
-    /// All rows of a table whose keys follow `from`; at most 500. They count as lost after `patience`.
+    /// The rows of a table from key `from` on, at most 500. Fails after `time_limit`.
     pub async fn rows(
         &mut self,
         table: &str,
         from: &str,
-        patience: Duration,
+        time_limit: Duration,
     ) -> eyre::Result<Rows> {
         let path = format!("/aspenspring/rows-get?table={table}&part=&rangeStart={from}");
-        let reply = self.ask(&Method::GET, &path, b"", patience).await?;
+        let reply = self.send_request(&Method::GET, &path, b"", time_limit).await?;
         expect_ok(&reply)?;
         Ok(serde_json::from_slice(&reply.body)?)
     }
 
-    /// The rows of a table that changed after `version`, as soon as there are any, or none after the wait.
+    /// Long poll: the rows of a table that changed after `version`, as soon as there are any; none if nothing
+    /// changes within the wait.
     pub async fn changes(
         &mut self,
         table: &str,
@@ -117,7 +118,7 @@
     ) -> eyre::Result<Changes> {
         let wait_ms = question.wait.as_millis();
         let path = format!("/aspenspring/rows-feed?table={table}&after={version}&waitMs={wait_ms}");
-        let reply = self.ask(&Method::GET, &path, b"", question.lost_after).await?;
+        let reply = self.send_request(&Method::GET, &path, b"", question.lost_after).await?;
         if reply.status == http::StatusCode::GONE.as_u16() {
             return Ok(Changes::HistoryGone);
         }
@@ -125,13 +126,13 @@
         Ok(Changes::Rows(serde_json::from_slice(&reply.body)?))
     }
 
-    /// Writes a row, whatever stands in it.
+    /// Writes a row unconditionally.
     pub async fn put(&mut self, table: &str, key: &str, value: &[u8]) -> eyre::Result<()> {
         let put = Put { table, part: "", key, value: STANDARD.encode(value) };
         self.write(&json!({ "expectedRevision": [], "put": [put], "remove": [] })).await
     }
 
-    /// Drops a row, if it is there.
+    /// Deletes a row if it exists.
     pub async fn remove(&mut self, table: &str, key: &str) -> eyre::Result<()> {
         let removed = json!({ "table": table, "part": "", "key": key });
         self.write(&json!({ "expectedRevision": [], "put": [], "remove": [removed] })).await
@@ -139,27 +140,28 @@
 
     async fn write(&mut self, transaction: &Value) -> eyre::Result<()> {
         let body = serde_json::to_vec(transaction)?;
-        let reply = self.ask(&Method::POST, "/aspenspring/rows-tx", &body, WRITE_TIMEOUT).await?;
+        let reply =
+            self.send_request(&Method::POST, "/aspenspring/rows-tx", &body, WRITE_TIMEOUT).await?;
         expect_ok(&reply)
     }
 
-    async fn ask(
+    async fn send_request(
         &mut self,
         method: &Method,
         path: &str,
         body: &[u8],
-        patience: Duration,
+        time_limit: Duration,
     ) -> eyre::Result<Reply> {
-        let kept = self.connection.take().filter(Connection::is_usable);
+        let open_connection = self.connection.take().filter(Connection::is_usable);
         let mut head = format!("{method} {path} HTTP/1.1\r\nHost: {}\r\n", self.address);
         if method != Method::GET {
             let length = body.len();
             head += &format!("Content-Type: application/json\r\nContent-Length: {length}\r\n");
         }
         head += "\r\n";
-        // Connecting counts: whoever asks has to know after `patience` whether it has an answer.
-        let asked = async {
-            let mut connection = match kept {
+        // The time limit includes connecting, so that the caller has a result within `time_limit`.
+        let exchange = async {
+            let mut connection = match open_connection {
                 Some(connection) => connection,
                 None => Connection::open(self.address).await?,
             };
@@ -167,7 +169,7 @@
             Ok::<_, ExchangeError>((connection, reply))
         };
         let (connection, reply) =
-            timeout(patience, asked).await.wrap_err("no answer in time")??;
+            timeout(time_limit, exchange).await.wrap_err("the store did not answer in time")??;
         if reply.is_reusable {
             self.connection = Some(connection);
         }
@@ -177,7 +179,7 @@
 
 fn expect_ok(reply: &Reply) -> eyre::Result<()> {
     if reply.status != http::StatusCode::OK.as_u16() {
-        bail!("the store answered {}", reply.status);
+        bail!("the store answered with status {}", reply.status);
     }
     Ok(())
 }
--- a/src/platform/watch.rs
+++ b/src/platform/watch.rs
@@ -1,4 +1,4 @@
-//! Follows the operator's configuration in the store.
+//! Watches the operator's configuration in the store and applies new versions.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,32 +13,34 @@
 use crate::mesh::inquiry::{Inquiry, Question};
 use crate::mesh::node::Node;
 
-/// The table of what the operator writes.
+/// The table that the operator writes to.
 const TABLE: &str = "op";
 /// The key of the configuration.
 const KEY: &str = "config";
-/// Takes in every version of the configuration for as long as the node runs.
+
+/// Applies new versions of the configuration for as long as the node runs.
 pub async fn watch_site(node: Rc<Node>, address: SocketAddr) {
     let watch = &node.store_watch;
     let mut store = Store::new(address);
     let mut version = None;
     let mut inquiry = Inquiry::new(Instant::now());
     loop {
-        // What is in force is read at the start; whoever does not follow hears of the next on its links.
+        // Every node reads the current version at its start. Later ones reach the nodes that do not watch the store
+        // through their peers.
         while version.is_some() && watch.role() == Role::Hears {
             watch.to_follow.notified().await;
         }
         let question = inquiry.ask(watch.is_first(), rand::random(), Instant::now());
         let outcome = tokio::select! {
-            outcome = follow(&node, &mut store, version, question) => outcome,
+            outcome = poll(&node, &mut store, version, question) => outcome,
             () = watch.became_first.notified() => continue,
         };
         match outcome {
-            Ok(seen) => {
-                version = seen;
+            Ok(seen_version) => {
+                version = seen_version;
                 watch.note_heard();
-                if let Some(away) = inquiry.answered(Instant::now()) {
-                    let away_ms = away.as_millis() as u64;
+                if let Some(outage) = inquiry.answered(Instant::now()) {
+                    let away_ms = outage.as_millis() as u64;
                     node.log.emit(&LogEvent::StoreBack { store: "table", away_ms });
                 }
             }
@@ -58,44 +60,45 @@
     }
 }
 
-/// Waits for the next version. Gives the version of the store up to which everything was seen.
-async fn follow(
+/// Waits for changes and applies them. Gives the version of the store up to which all changes were seen; none if
+/// the store no longer has the history, so that the configuration has to be read again.
+async fn poll(
     node: &Rc<Node>,
     store: &mut Store,
     version: Option<u64>,
     question: Question,
 ) -> eyre::Result<Option<u64>> {
     let Some(version) = version else {
-        let found = store.rows(TABLE, KEY, question.lost_after).await?;
-        take_rows(node, &found.rows);
-        return Ok(Some(found.row_version));
+        let page = store.rows(TABLE, KEY, question.lost_after).await?;
+        apply_rows(node, &page.rows);
+        return Ok(Some(page.row_version));
     };
     match store.changes(TABLE, version, question).await? {
         Changes::HistoryGone => Ok(None),
-        Changes::Rows(found) => {
-            take_rows(node, &found.rows);
-            Ok(Some(found.row_version))
+        Changes::Rows(page) => {
+            apply_rows(node, &page.rows);
+            Ok(Some(page.row_version))
         }
     }
 }
 
-/// Takes in the configuration where it is among the rows. One that cannot be read is passed over: what
-/// is in force holds, and the next version is waited for.
-fn take_rows(node: &Rc<Node>, rows: &[Result<Row, String>]) {
+/// Applies the configuration if it is among the rows. An invalid one is logged and skipped; the current one stays
+/// in force until the next version.
+fn apply_rows(node: &Rc<Node>, rows: &[Result<Row, String>]) {
     for row in rows {
-        match take_row(node, row) {
+        match apply_row(node, row) {
             Ok(true) => node.tell_status(),
             Ok(false) => {}
             Err(error) => {
-                let detail = format!("a row of {TABLE}: {error:#}");
+                let detail = format!("invalid row in the table {TABLE}: {error:#}");
                 node.log.emit(&LogEvent::InputRefused { input: "configuration", detail });
             }
         }
     }
 }
 
-/// Takes in one row. Says whether it brought a newer configuration.
-fn take_row(node: &Rc<Node>, row: &Result<Row, String>) -> eyre::Result<bool> {
+/// Applies one row. Returns whether it contained a newer configuration.
+fn apply_row(node: &Rc<Node>, row: &Result<Row, String>) -> eyre::Result<bool> {
     let row = row.as_ref().map_err(|error| eyre!("{error}"))?;
     if row.key != KEY || row.deleted {
         return Ok(false);
