--- a/src/mesh/teams/lease.rs
+++ b/src/mesh/teams/lease.rs
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Handles the answer to a request for tokens; none if the node does not own the quota. Gives the number of
+    /// Handles the answer to a request for tokens; none if the node does not own the quota. Returns the number of
     /// tokens that arrived too late and have to be returned, as requests may have been admitted by the equal share
     /// in their place.
     pub fn handle_answer(&mut self, grant: Option<Grant>, now: Instant) -> u32 {
@@ -176,7 +176,7 @@
         self.tokens += 1;
     }
 
-    /// Removes the tokens of an expired lease and gives their number.
+    /// Removes the tokens of an expired lease and returns their number.
     pub fn take_expired(&mut self, now: Instant) -> u32 {
         if now < self.valid_until { 0 } else { std::mem::take(&mut self.tokens) }
     }
--- a/src/mesh/teams/quota.rs
+++ b/src/mesh/teams/quota.rs
@@ -154,7 +154,7 @@
         self.leases.borrow().get(team).cloned()
     }
 
-    /// Removes the tokens of expired leases, and gives their number by team. Also drops the leases of idle teams.
+    /// Removes the tokens of expired leases, and returns their number by team. Also drops the leases of idle teams.
     pub fn take_expired(&self, now: Instant) -> Vec<(Rc<str>, u32)> {
         let mut expired = Vec::new();
         self.leases.borrow_mut().retain(|team, held| {
--- a/src/platform/watch.rs
+++ b/src/platform/watch.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// Waits for changes and applies them. Gives the version of the store up to which all changes were seen; none if
+/// Waits for changes and applies them. Returns the version of the store up to which all changes were seen; none if
 /// the store no longer has the history, so that the configuration has to be read again.
 async fn poll(
     node: &Rc<Node>,
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! The adapter to the users' platform: what it reads, and that its names stay in its folder.
+//! The adapter to the users' platform: parsing of its input, and nodes as real processes.
 
 mod node;
 mod process;
@@ -16,7 +16,7 @@
 const DOCUMENT: &str = include_str!("document.json");
 
 #[test]
-fn a_configuration_is_read_whole() {
+fn all_fields_of_a_configuration_are_read() {
     let site = read_document(DOCUMENT.as_bytes()).unwrap();
     assert_eq!(site.version, 12);
     let route = site.route("shop.test", "/pay/7").unwrap();
@@ -38,9 +38,9 @@
     assert_eq!(site.teams.team("buyers").unwrap().quota, None);
 }
 
-/// What is wrong with a team is told by its name: its keys are secrets, and errors are logged.
+/// Errors are logged and keys are secrets, so an error may name a team but contain none of its keys.
 #[test]
-fn an_error_about_a_team_tells_no_key() {
+fn errors_about_teams_contain_no_keys() {
     for (from, to) in [
         ("\"apiKeys\":[]", "\"apiKeys\":[\"old-key\"]"),
         ("\"apiKeys\":[]", "\"apiKeys\":\"blue-key\""),
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_configuration_that_makes_no_sense_is_refused_with_the_place() {
+fn errors_of_a_configuration_name_the_invalid_part() {
     for (from, to, place) in [
         ("\"service\":\"pay\",", "", "the route r-pay"),
         ("\"r12\"", "\"twelve\"", "the version"),
@@ -71,8 +71,8 @@
     }
 }
 
-/// The template as the platform fills it in.
-fn filled_in() -> String {
+/// The settings template with the values that the platform fills in.
+fn filled_template() -> String {
     let mut text = fs::read_to_string(root().join("deploy/node.json")).unwrap();
     for (name, value) in [
         ("{{nodeName|json}}", "\"n1\""),
@@ -100,8 +100,8 @@
 }
 
 #[test]
-fn the_template_gives_settings_in_the_product_s_names() {
-    let settings = parse_settings(&filled_in()).unwrap();
+fn the_filled_template_is_parsed() {
+    let settings = parse_settings(&filled_template()).unwrap();
     assert_eq!(settings.mesh.node.failure_domain, "a");
     assert_eq!(settings.mesh.listen.peers, "127.0.0.1:4".parse().unwrap());
     assert_eq!(settings.mesh.timing.stop_grace_ms, 6_000);
@@ -111,20 +111,20 @@
 
 #[test]
 fn settings_without_a_bound_or_with_a_bad_address_are_refused() {
-    for (from, to, told) in [
+    for (from, to, expected) in [
         ("\"graceS\":6,", "", "graceS"),
         ("\"graceS\":6", "\"graceS\":\"six\"", "graceS"),
         ("\"127.0.0.1:5\"", "\"nowhere\"", "invalid"),
         ("\"target\"", "\"other\"", "target"),
     ] {
-        let text = filled_in();
+        let text = filled_template();
         assert!(text.contains(from), "{from}");
         let error = parse_settings(&text.replace(from, to)).expect_err("refused");
-        assert!(format!("{error:#}").contains(told), "{error:#}");
+        assert!(format!("{error:#}").contains(expected), "{error:#}");
     }
 }
 
-/// Names that the users' platform gives to things. They belong into its folder alone.
+/// Names defined by the users' platform, which only the adapter may contain.
 const PLATFORM_NAMES: [&str; 16] = [
     "attempt-id",
     "calling-service",
@@ -145,7 +145,7 @@
 ];
 
 #[test]
-fn no_name_of_the_platform_stands_outside_of_its_folder() {
+fn platform_names_occur_only_in_the_adapter() {
     let own = root().join("src/platform");
     let mut files = Vec::new();
     collect(&root().join("src"), &mut files);
--- a/tests/platform/soak/callers.rs
+++ b/tests/platform/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their connections for as long as the process at the other end lives.
+//! Simulated callers with persistent connections.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,125 +8,136 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::findings::{End, Findings, Key, Kind, Record};
+use super::findings::{Findings, Key, Outcome, Record, RequestKind};
 use super::site::Site;
-use super::targets::LONG;
+use super::targets::SLOW_PREFIX;
 use crate::node::CALLERS_PORT;
 
-/// How long a connection may take to be established.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(500);
-/// How long a caller waits for an answer. Longer than any route's time, so that late ones are seen.
-const ANSWER_PATIENCE: Duration = Duration::from_secs(8);
-/// The longest pause after a refusal.
+/// The timeout of connecting to a node.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a caller waits for an answer. Longer than the timeout of any route, so that late answers are detected.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
+/// The upper bound of the pause after a refusal, whatever `retry-after` says.
 const REFUSED_PAUSE_MAX: Duration = Duration::from_millis(300);
 
-/// The share of requests whose callers leave before the answer.
-const LEAVING_SHARE: f64 = 0.08;
-/// How long such a caller waits at most, in milliseconds.
-const LEAVING_AFTER_MS: u64 = 400;
+/// The share of requests whose callers close the connection before the answer.
+const ABANDON_SHARE: f64 = 0.08;
+/// The longest wait of such a caller before it closes the connection.
+const ABANDON_AFTER_MAX_MS: u64 = 400;
 
-/// How many requests stand behind the one that such a caller waits for, at most.
-const BEHIND_MAX: u32 = 3;
+/// The most requests that such a caller pipelines behind the first.
+const PIPELINED_MAX: u32 = 3;
 
-/// An answer.
+/// An answer as received by a caller.
 struct Answer {
     status: u16,
     attempt: String,
     signature: String,
     retry_after: Duration,
-    closes: bool,
+    closes_connection: bool,
     body: String,
 }
 
-/// Calls one node after the other until the site stops.
-pub fn call(site: &Site, seed: u64, caller: u64, findings: &Findings) {
+/// Sends requests to randomly chosen nodes until the site stops.
+pub fn run_caller(site: &Site, seed: u64, caller: u64, findings: &Findings) {
     let mut rng = SmallRng::seed_from_u64(seed << 8 | caller);
-    let mut sent = 0;
+    let mut sent_count = 0;
     while !site.is_stopped() {
         let member = rng.random_range(0..site.members.len());
         let address = SocketAddr::from((site.members[member].ip, CALLERS_PORT));
-        let Ok(stream) = TcpStream::connect_timeout(&address, CONNECT_PATIENCE) else {
+        let Ok(stream) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) else {
             thread::sleep(Duration::from_millis(50));
             continue;
         };
-        stream.set_read_timeout(Some(ANSWER_PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT)).unwrap();
         let mut reader = BufReader::new(stream);
         while !site.is_stopped() {
-            let kind = if rng.random_bool(0.4) { Kind::Once } else { Kind::Repeatable };
-            let attempt = format!("{caller:x}-{sent:x}");
-            sent += 1;
-            let asked = Instant::now();
-            let key = key_of(site, caller, sent);
-            if rng.random_bool(LEAVING_SHARE) {
+            let kind = if rng.random_bool(0.4) {
+                RequestKind::AtMostOnce
+            } else {
+                RequestKind::Idempotent
+            };
+            let attempt = format!("{caller:x}-{sent_count:x}");
+            sent_count += 1;
+            let sent_at = Instant::now();
+            let key = key_of(site, caller, sent_count);
+            if rng.random_bool(ABANDON_SHARE) {
                 let mut attempts = Vec::new();
-                for _ in 0..rng.random_range(1..=BEHIND_MAX + 1) {
-                    attempts.push(format!("{LONG}{caller:x}-{sent:x}"));
-                    sent += 1;
+                for _ in 0..rng.random_range(1..=PIPELINED_MAX + 1) {
+                    attempts.push(format!("{SLOW_PREFIX}{caller:x}-{sent_count:x}"));
+                    sent_count += 1;
                 }
-                let wait = Duration::from_millis(rng.random_range(1..LEAVING_AFTER_MS));
-                let ended = leave(reader, &attempts, key.text().as_deref(), wait);
+                let wait = Duration::from_millis(rng.random_range(1..ABANDON_AFTER_MAX_MS));
+                let ended_at =
+                    send_and_abandon(reader, &attempts, key.header_value().as_deref(), wait);
                 for attempt in attempts {
-                    let (kind, end) = (Kind::Repeatable, End::Left);
-                    findings.note(site, Record { attempt, kind, key, member, asked, ended, end });
+                    let (kind, outcome) = (RequestKind::Idempotent, Outcome::CallerLeft);
+                    findings.record_request(
+                        site,
+                        Record { attempt, kind, key, member, sent_at, ended_at, outcome },
+                    );
                 }
                 break;
             }
-            let answer = exchange(&mut reader, kind, &attempt, key.text().as_deref());
-            let goes_on = answer.as_ref().is_some_and(|answer| !answer.closes);
+            let answer = exchange(&mut reader, kind, &attempt, key.header_value().as_deref());
+            let keeps_connection = answer.as_ref().is_some_and(|answer| !answer.closes_connection);
             let pause = pause_after(answer.as_ref(), &mut rng);
-            let end = answer.map_or(End::Cut, |answer| end_of(&answer));
-            let ended = Instant::now();
-            findings.note(site, Record { attempt, kind, key, member, asked, ended, end });
+            let outcome = answer.map_or(Outcome::ConnectionLost, |answer| outcome_of(&answer));
+            let ended_at = Instant::now();
+            findings.record_request(
+                site,
+                Record { attempt, kind, key, member, sent_at, ended_at, outcome },
+            );
             thread::sleep(pause);
-            if !goes_on {
+            if !keeps_connection {
                 break;
             }
         }
     }
 }
 
-/// The key of a caller's next request: most have one that is always good.
-fn key_of(site: &Site, caller: u64, sent: u64) -> Key {
+/// The key of a caller's next request; most callers use one that is always valid.
+fn key_of(site: &Site, caller: u64, sent_count: u64) -> Key {
     match caller % 8 {
         0 => Key::Limited,
-        1 => Key::Rotated(site.newest()),
-        // The key of the version before the newest; versions are three apart.
-        2 => Key::Rotated(site.newest().saturating_sub(3)),
-        3 if sent % 4 == 0 => Key::None,
-        _ => Key::Steady,
+        1 => Key::Rotated(site.newest_version()),
+        // The key of the previous version; version numbers increase by three.
+        2 => Key::Rotated(site.newest_version().saturating_sub(3)),
+        3 if sent_count % 4 == 0 => Key::None,
+        _ => Key::Permanent,
     }
 }
 
-/// How long a caller waits before its next request: mostly not long, at times so long that its connection
-/// is idle while a node is told to stop.
+/// The pause before a caller's next request. Usually short; sometimes so long that the connection is idle when the
+/// node is told to stop.
 fn pause_after(answer: Option<&Answer>, rng: &mut SmallRng) -> Duration {
     let refused = answer.map_or(Duration::ZERO, |answer| answer.retry_after);
     let idle_ms = if rng.random_bool(0.05) { 2_000 } else { 60 };
     Duration::from_millis(rng.random_range(1..idle_ms)) + refused.min(REFUSED_PAUSE_MAX)
 }
 
-fn end_of(answer: &Answer) -> End {
+fn outcome_of(answer: &Answer) -> Outcome {
     match answer.status {
-        200 => End::Served {
+        200 => Outcome::Served {
             attempt: answer.attempt.clone(),
             signature: answer.signature.clone(),
             body: answer.body.clone(),
         },
-        408 | 421 | 429 | 503 => End::NotRun(answer.status),
-        status => End::Failed(status),
+        408 | 421 | 429 | 503 => Outcome::NotRun(answer.status),
+        status => Outcome::Failed(status),
     }
 }
 
-/// Sends reads, one behind the other, and leaves after `wait`; gives when it closed.
-fn leave(
+/// Sends pipelined reads and closes the connection after `wait`. Returns when it was closed.
+fn send_and_abandon(
     mut reader: BufReader<TcpStream>,
     attempts: &[String],
     key: Option<&str>,
     wait: Duration,
 ) -> Instant {
     for attempt in attempts {
-        // Whoever cannot send has left all the same.
-        drop(send(reader.get_mut(), Kind::Repeatable, attempt, key));
+        // The caller has left even if sending fails.
+        drop(send(reader.get_mut(), RequestKind::Idempotent, attempt, key));
     }
     thread::sleep(wait);
     drop(reader);
@@ -135,7 +146,7 @@
 
 fn exchange(
     reader: &mut BufReader<TcpStream>,
-    kind: Kind,
+    kind: RequestKind,
     attempt: &str,
     key: Option<&str>,
 ) -> Option<Answer> {
@@ -143,10 +154,15 @@
     read_answer(reader)
 }
 
-fn send(stream: &mut TcpStream, kind: Kind, attempt: &str, key: Option<&str>) -> io::Result<()> {
+fn send(
+    stream: &mut TcpStream,
+    kind: RequestKind,
+    attempt: &str,
+    key: Option<&str>,
+) -> io::Result<()> {
     let (method, path) = match kind {
-        Kind::Once => ("POST", "book"),
-        Kind::Repeatable => ("GET", "look"),
+        RequestKind::AtMostOnce => ("POST", "book"),
+        RequestKind::Idempotent => ("GET", "look"),
     };
     let key = key.map_or_else(String::new, |key| format!("X-Api-Key: {key}\r\n"));
     let request = format!(
@@ -165,7 +181,7 @@
         attempt: String::new(),
         signature: String::new(),
         retry_after: Duration::ZERO,
-        closes: false,
+        closes_connection: false,
         body: String::new(),
     };
     let mut length = 0;
@@ -177,7 +193,7 @@
             "attempt-id" => value.clone_into(&mut answer.attempt),
             "response-signature" => value.clone_into(&mut answer.signature),
             "retry-after" => answer.retry_after = Duration::from_secs_f64(value.parse().ok()?),
-            "connection" => answer.closes = value.eq_ignore_ascii_case("close"),
+            "connection" => answer.closes_connection = value.eq_ignore_ascii_case("close"),
             "content-length" => length = value.parse().ok()?,
             _ => {}
         }
--- a/tests/platform/soak/faults.rs
+++ b/tests/platform/soak/faults.rs
@@ -1,83 +1,86 @@
-//! Which faults come, and when.
+//! The faults of a seed and their times.
 
 use std::time::Duration;
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// How many faults come in one play.
-const COUNT: usize = 14;
-/// How often the request that ends targets comes besides, several times each.
-const CRASHES: usize = 3;
+/// The number of faults per seed, without crash requests.
+const FAULT_COUNT: usize = 14;
+/// The number of additional series of requests that crash their target.
+const CRASH_SERIES_COUNT: usize = 3;
 
-/// What goes wrong, or is done by an operator.
+/// A fault, or an action of the operator.
 #[derive(Clone, Copy, Debug)]
-pub enum Kind {
-    /// A node is told to stop, and is started again when it has.
+pub enum FaultKind {
+    /// A node is stopped with SIGTERM, and restarted after its end.
     Stop { member: usize },
-    /// A node is killed.
+    /// A node is killed with SIGKILL, and restarted.
     Kill { member: usize },
-    /// A node stands still.
-    Freeze { member: usize, for_ms: u64 },
-    /// A node is told that its settings have changed.
+    /// A node is paused with SIGSTOP.
+    Pause { member: usize, for_ms: u64 },
+    /// A node is told with SIGHUP to read its settings again.
     Reload { member: usize },
-    /// The store refuses everything.
-    StoreAway { for_ms: u64 },
-    /// The store takes questions and answers none.
-    StoreSilent { for_ms: u64 },
-    /// The store forgets what has changed.
-    StoreForgets,
-    /// New configurations come in quick succession.
-    Configure { count: u32, gap_ms: u64 },
-    /// A request that ends its target comes so often, first at this node.
+    /// The store refuses every request.
+    StoreUnavailable { for_ms: u64 },
+    /// The store accepts requests without answering.
+    StoreUnresponsive { for_ms: u64 },
+    /// The store drops its history of changes.
+    StoreDropsHistory,
+    /// New configurations are published in quick succession.
+    PublishConfigurations { count: u32, gap_ms: u64 },
+    /// A request that crashes its target is sent `count` times, first to the node `member`, then to the next ones.
     Crash { member: usize, count: usize },
 }
 
 /// A fault and its time.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// When it comes, from the start of the play.
+    /// The time since the start of the run.
     pub at: Duration,
-    /// What it is.
-    pub kind: Kind,
+    /// The kind of fault.
+    pub kind: FaultKind,
 }
 
 impl Fault {
-    /// What it is and when, for a report.
-    pub fn name(&self) -> String {
+    /// The time and the kind, for the report.
+    pub fn description(&self) -> String {
         format!("{:.1} s {:?}", self.at.as_secs_f64(), self.kind)
     }
 }
 
-/// Draws the faults of a seed, in their order. They overlap as it happens.
-pub fn draw(seed: u64, members: usize, within: Duration) -> Vec<Fault> {
+/// Generates the faults of a seed, sorted by time. They may overlap.
+pub fn generate(seed: u64, members: usize, within: Duration) -> Vec<Fault> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut faults = Vec::new();
-    for _ in 0..COUNT {
+    for _ in 0..FAULT_COUNT {
         let at = within.mul_f64(rng.random());
-        faults.push(Fault { at, kind: draw_kind(&mut rng, members) });
+        faults.push(Fault { at, kind: generate_kind(&mut rng, members) });
     }
-    // Drawn by themselves, so that a seed keeps the faults that it had.
+    // Uses a separate generator, so that the other faults of a seed stay the same.
     let mut rng = SmallRng::seed_from_u64(!seed);
-    for _ in 0..CRASHES {
+    for _ in 0..CRASH_SERIES_COUNT {
         let at = within.mul_f64(rng.random());
         let (member, count) = (rng.random_range(0..members), rng.random_range(1..6));
-        faults.push(Fault { at, kind: Kind::Crash { member, count } });
+        faults.push(Fault { at, kind: FaultKind::Crash { member, count } });
     }
     faults.sort_by_key(|fault| fault.at);
     faults
 }
 
-fn draw_kind(rng: &mut SmallRng, members: usize) -> Kind {
+fn generate_kind(rng: &mut SmallRng, members: usize) -> FaultKind {
     let member = rng.random_range(0..members);
     match rng.random_range(0..11) {
-        0 | 1 => Kind::Stop { member },
-        2 | 3 => Kind::Kill { member },
-        4 => Kind::Freeze { member, for_ms: rng.random_range(200..4_000) },
-        5 => Kind::Reload { member },
-        6 => Kind::StoreAway { for_ms: rng.random_range(200..6_000) },
-        7 => Kind::StoreSilent { for_ms: rng.random_range(200..6_000) },
-        8 => Kind::StoreForgets,
-        _ => Kind::Configure { count: rng.random_range(1..6), gap_ms: rng.random_range(5..400) },
+        0 | 1 => FaultKind::Stop { member },
+        2 | 3 => FaultKind::Kill { member },
+        4 => FaultKind::Pause { member, for_ms: rng.random_range(200..4_000) },
+        5 => FaultKind::Reload { member },
+        6 => FaultKind::StoreUnavailable { for_ms: rng.random_range(200..6_000) },
+        7 => FaultKind::StoreUnresponsive { for_ms: rng.random_range(200..6_000) },
+        8 => FaultKind::StoreDropsHistory,
+        _ => FaultKind::PublishConfigurations {
+            count: rng.random_range(1..6),
+            gap_ms: rng.random_range(5..400),
+        },
     }
 }
--- a/tests/platform/soak/mod.rs
+++ b/tests/platform/soak/mod.rs
@@ -1,17 +1,18 @@
-//! Real nodes under series of overlapping faults, checked by what callers, targets and probes see.
+//! Soak test: runs real nodes under series of overlapping faults and checks what callers, targets and probes
+//! observe.
 //!
-//! `cargo test --test platform soak` plays two seeds in half a minute. Many are played by hand:
+//! `cargo test --test platform soak` runs two seeds. To run more seeds:
 //!
 //!     SOAK_SEEDS=1..41 cargo test --test platform soak -- --nocapture
 //!
-//! A seed sets which faults come, when and where, and what callers ask; threads and processes run as they
-//! do. The logs of a seed with findings stay in the temporary folder that it names.
+//! A seed determines the faults, their times and places, and the requests of callers, but not the scheduling of
+//! threads and processes. The logs of a seed with findings are kept in a temporary folder whose path is printed.
 
 mod callers;
 mod faults;
 mod findings;
+mod intervals;
 mod site;
-mod spans;
 mod targets;
 
 use std::ops::Range;
@@ -22,53 +23,53 @@
 
 use self::faults::Fault;
 use self::findings::{Findings, Report};
-use self::site::{CONFIG_APPLY, CONTACT, Site};
+use self::site::{CONFIG_APPLY, SETTLE_TIME, Site};
 
-/// The seeds that every run of the tests plays.
+/// The seeds of a run by default.
 const SEEDS: Range<u64> = 1..3;
-/// The variable that names other seeds, as `1..41`.
+/// The environment variable that sets other seeds, such as `1..41`.
 const SEEDS_ENV: &str = "SOAK_SEEDS";
-/// The most seeds of one run: every node has an address of its own, and a run has 254 of them.
+/// The most seeds of one run: each node has its own loopback address, and a test process has 254 of them.
 const SEEDS_MAX: usize = 40;
-/// How many seeds are played at a time.
-const AT_A_TIME: usize = 4;
-/// For how long faults come.
-const FAULTS_FOR: Duration = Duration::from_secs(18);
-/// Within this time after the last fault everything must be served again.
-const RECOVERY: Duration = Duration::from_secs(15);
-/// Within this time all nodes are asked for the configuration in force.
-const PROBED_WITHIN: Duration = Duration::from_millis(700);
-/// How often the request that ends targets comes when all faults are over.
+/// The number of seeds that run in parallel.
+const PARALLEL_SEEDS: usize = 4;
+/// The period in which faults start.
+const FAULTS_PERIOD: Duration = Duration::from_secs(18);
+/// The longest time after the last fault until every request is served again.
+const RECOVERY_MAX: Duration = Duration::from_secs(15);
+/// The time in which the probe asks every node for its configuration.
+const PROBE_PERIOD: Duration = Duration::from_millis(700);
+/// How often the request that crashes its target is sent after the last fault.
 const CRASH_ATTEMPTS: usize = 12;
-/// How many targets it may end before it is known for it, and reach after that.
+/// The most targets that it may crash: three until it is quarantined, and three after that.
 const CRASHES_MAX: u32 = 3 + 3;
-/// How many callers there are.
+/// The number of callers.
 const CALLERS: u64 = 24;
 
-/// The seeds to play.
+/// The seeds to run.
 fn seeds() -> Range<u64> {
     let Ok(text) = std::env::var(SEEDS_ENV) else { return SEEDS };
-    let (first, end) = text.split_once("..").expect("seeds are written as 1..41");
+    let (first, end) = text.split_once("..").expect("a range of seeds such as 1..41");
     let seeds =
         first.parse().expect("the first seed")..end.parse().expect("the seed after the last one");
-    assert!(seeds.clone().count() <= SEEDS_MAX, "a run plays {SEEDS_MAX} seeds at most");
+    assert!(seeds.clone().count() <= SEEDS_MAX, "a run has at most {SEEDS_MAX} seeds");
     seeds
 }
 
 #[test]
-fn the_promises_hold_under_series_of_faults() {
+fn guarantees_hold_under_series_of_faults() {
     let seeds = seeds();
     let next = AtomicU64::new(seeds.start);
     let reports = Mutex::new(Vec::new());
     thread::scope(|scope| {
-        for _ in 0..AT_A_TIME {
+        for _ in 0..PARALLEL_SEEDS {
             scope.spawn(|| {
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
                     if seed >= seeds.end {
                         return;
                     }
-                    let report = play(seed);
+                    let report = run_seed(seed);
                     println!("{report}");
                     reports.lock().unwrap().push(report);
                 }
@@ -77,55 +78,57 @@
     });
     let reports = reports.into_inner().unwrap();
     let with_findings: Vec<_> = reports.iter().filter(|report| !report.is_clean()).collect();
-    println!("{} seeds played, {} with findings", reports.len(), with_findings.len());
+    println!("{} seeds run, {} with findings", reports.len(), with_findings.len());
     assert!(with_findings.is_empty(), "seeds with findings: {with_findings:#?}");
 }
 
-/// Plays one seed.
-fn play(seed: u64) -> Report {
+/// Runs one seed.
+fn run_seed(seed: u64) -> Report {
     let site = Arc::new(Site::start(seed));
     let findings = Findings::default();
-    let faults = faults::draw(seed, site.members.len(), FAULTS_FOR);
-    let mut served = None;
+    let faults = faults::generate(seed, site.members.len(), FAULTS_PERIOD);
+    let mut recovered_in = None;
     thread::scope(|scope| {
         scope.spawn(|| site.supervise(&findings));
         scope.spawn(|| site.probe(&findings));
         for caller in 0..CALLERS {
             let (site, findings) = (&site, &findings);
-            scope.spawn(move || callers::call(site, seed, caller, findings));
+            scope.spawn(move || callers::run_caller(site, seed, caller, findings));
         }
-        let began = Instant::now();
-        let mut running = Vec::new();
+        let started_at = Instant::now();
+        let mut fault_threads = Vec::new();
         for fault in &faults {
-            thread::sleep((began + fault.at).saturating_duration_since(Instant::now()));
+            thread::sleep((started_at + fault.at).saturating_duration_since(Instant::now()));
             let site = Arc::clone(&site);
             let kind = fault.kind;
-            running.push(thread::spawn(move || site.suffer(kind)));
+            fault_threads.push(thread::spawn(move || site.inject(kind)));
         }
-        for fault in running {
-            fault.join().expect("a fault comes to its end");
+        for fault in fault_threads {
+            fault.join().expect("the fault thread ends without a panic");
         }
-        served = site.wait_until_served(RECOVERY);
-        // Whatever the faults have left behind: a change that comes now has to be in force in time.
-        thread::sleep(CONTACT);
+        recovered_in = site.wait_until_served(RECOVERY_MAX);
+        // After all faults, a new configuration must come into force in time.
+        thread::sleep(SETTLE_TIME);
         let crashes = site.crash(0, CRASH_ATTEMPTS);
         if crashes > CRASHES_MAX {
-            findings
-                .add(format!("a request that ends targets has run {crashes} times in the calm"));
+            findings.add(format!(
+                "a request that crashes targets ran {crashes} times after the last fault"
+            ));
         }
-        if site.wait_until_served(RECOVERY).is_none() {
-            findings.add(format!("not everything was served {RECOVERY:?} after the last crash"));
+        if site.wait_until_served(RECOVERY_MAX).is_none() {
+            findings
+                .add(format!("not every request was served {RECOVERY_MAX:?} after the last crash"));
         }
-        site.configure();
-        thread::sleep(CONFIG_APPLY + PROBED_WITHIN);
+        site.publish_configuration();
+        thread::sleep(CONFIG_APPLY + PROBE_PERIOD);
         site.stop();
     });
-    if served.is_none() {
-        findings.add(format!("not everything was served {RECOVERY:?} after the last fault"));
+    if recovered_in.is_none() {
+        findings.add(format!("not every request was served {RECOVERY_MAX:?} after the last fault"));
     }
     findings.check_runs(&site.runs());
-    let kinds = faults.iter().map(Fault::name).collect();
-    let report = findings.report(seed, kinds, served);
+    let descriptions = faults.iter().map(Fault::description).collect();
+    let report = findings.report(seed, descriptions, recovered_in);
     if !report.is_clean() {
         site.keep_logs();
     }
--- a/tests/platform/soak/site.rs
+++ b/tests/platform/soak/site.rs
@@ -1,4 +1,4 @@
-//! The nodes, targets and the store of a play, and what happens to them.
+//! The nodes, the targets and the store of one seed, and the injection of faults.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -7,16 +7,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::faults::Kind;
+use super::faults::FaultKind;
 use super::findings::Findings;
-use super::spans::Spans;
-use super::targets::{Ran, Runs, STEADY_KEY, beat, document, serve};
-use crate::node::{self, Place, Process};
+use super::intervals::Intervals;
+use super::targets::{RunRecord, Runs, STEADY_KEY, document, send_heartbeats, serve};
+use crate::node::{self, NodeSpec, Process};
 use crate::store::Store;
-use crate::target::CRASHES;
+use crate::target::CRASH_PATH;
 
-/// The nodes: their failure domains and services.
-const PLACES: [(&str, &str); 6] = [
+/// The failure domains and services of the nodes.
+const NODES: [(&str, &str); 6] = [
     ("a", "stock"),
     ("a", "orders"),
     ("a", "stock"),
@@ -24,64 +24,66 @@
     ("b", "stock"),
     ("b", "orders"),
 ];
-/// After being left alone for this long, together with the store, a node has to keep to all bounds.
-pub const CONTACT: Duration = Duration::from_secs(3);
-/// How long a configuration may take to come into force.
+/// The time without faults of a node and the store from which the node has to meet all bounds.
+pub const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// The longest time for a configuration to come into force.
 pub const CONFIG_APPLY: Duration = Duration::from_secs(2);
-/// A node that was told to stop may still run for this long.
-const GRACE: Duration = Duration::from_secs(6);
-/// Requests that come within this time after a node was told to stop are finished.
-const STOP_FINISHES: Duration = Duration::from_secs(3);
-/// How long an ended node stays down.
-const DOWN: Duration = Duration::from_millis(500);
-/// How long a probe or a heartbeat may take.
-pub const PROBE_PATIENCE: Duration = Duration::from_millis(800);
-/// The pause between two attempts at the request that ends targets.
-const CRASH_EVERY: Duration = Duration::from_millis(250);
-/// The pause between two looks at anything.
-const LOOK_EVERY: Duration = Duration::from_millis(60);
+/// The longest time from SIGTERM until the process ends.
+const STOP_GRACE: Duration = Duration::from_secs(6);
+/// Requests that arrive within this time after SIGTERM are still answered.
+const STOP_ACCEPTS_FOR: Duration = Duration::from_secs(3);
+/// The pause before an ended node is restarted.
+const DOWNTIME: Duration = Duration::from_millis(500);
+/// The timeout of a probe or a heartbeat.
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
+/// The interval between requests that crash their target.
+const CRASH_INTERVAL: Duration = Duration::from_millis(250);
+/// The polling interval.
+const POLL_INTERVAL: Duration = Duration::from_millis(60);
+
 /// A node with its target.
 pub struct Member {
     pub ip: Ipv4Addr,
     process: Mutex<Process>,
-    /// Which start of the process this is.
-    life: AtomicU64,
-    /// Whether the process was killed or stood still since its last start.
-    is_harmed: AtomicBool,
-    /// When the process was told to stop, since its last start.
-    told_to_stop: Mutex<Option<Instant>>,
-    /// Kills and standstills, until it runs again.
-    harm: Spans,
-    /// Planned stops, until it runs again.
-    stops: Spans,
+    /// The number of restarts of the process.
+    incarnation: AtomicU64,
+    /// Whether the process was killed or paused since its last start.
+    was_disrupted: AtomicBool,
+    /// When SIGTERM was sent to the process, if so since its last start.
+    stop_requested_at: Mutex<Option<Instant>>,
+    /// Kills and pauses, each until the process runs again.
+    disruptions: Intervals,
+    /// Planned stops, each until the process runs again.
+    planned_stops: Intervals,
 }
 
 impl Member {
-    /// Whether nothing happened to the node that excuses a cut: it was neither killed nor stood still, and a
-    /// request that came long after it had been told to stop is not counted.
-    pub fn is_undisturbed(&self, asked: Instant, ended: Instant) -> bool {
-        let told = *self.told_to_stop.lock().unwrap();
-        let is_late = told.is_some_and(|told| asked > told + STOP_FINISHES);
-        !is_late && !self.harm.touch(asked, ended)
+    /// Whether the node gave no reason for a lost connection during a request: it was neither killed nor paused, and
+    /// the request was not sent long after SIGTERM.
+    pub fn is_undisturbed(&self, sent_at: Instant, ended_at: Instant) -> bool {
+        let stopped_at = *self.stop_requested_at.lock().unwrap();
+        let is_late = stopped_at.is_some_and(|stopped_at| sent_at > stopped_at + STOP_ACCEPTS_FOR);
+        !is_late && !self.disruptions.any_overlaps(sent_at, ended_at)
     }
 
-    /// Whether the node was left alone from long enough before `asked` until `ended`.
-    pub fn is_in_touch(&self, asked: Instant, ended: Instant) -> bool {
-        let from = asked - CONTACT;
-        !self.harm.touch(from, ended) && !self.stops.touch(from, ended)
+    /// Whether the node had no faults or stops from [`SETTLE_TIME`] before `sent_at` until `ended_at`.
+    pub fn is_settled(&self, sent_at: Instant, ended_at: Instant) -> bool {
+        let from = sent_at - SETTLE_TIME;
+        !self.disruptions.any_overlaps(from, ended_at)
+            && !self.planned_stops.any_overlaps(from, ended_at)
     }
 
     fn signal(&self, signal: libc::c_int) {
         self.process.lock().unwrap().signal(signal);
     }
 
-    /// How many processes of the node have said that they start.
+    /// The number of processes of the node that have logged their start.
     fn starts(&self) -> usize {
         self.process.lock().unwrap().log().matches("\"name\":\"MeshStarted\"").count()
     }
 
-    fn ask(&self, port: u16, text: &str) -> Option<String> {
-        node::ask(SocketAddr::from((self.ip, port)), text, PROBE_PATIENCE)
+    fn send_request(&self, port: u16, text: &str) -> Option<String> {
+        node::send_request(SocketAddr::from((self.ip, port)), text, PROBE_TIMEOUT)
     }
 
     fn get(&self, port: u16, path: &str, attempt: &str) -> Option<String> {
@@ -89,7 +91,7 @@
             "GET {path} HTTP/1.1\r\nHost: shop.test\r\nAttempt-Id: {attempt}\r\n\
              X-Api-Key: {STEADY_KEY}\r\nConnection: close\r\n\r\n"
         );
-        self.ask(port, &text)
+        self.send_request(port, &text)
     }
 
     fn version(&self) -> Option<u64> {
@@ -97,69 +99,72 @@
     }
 }
 
-/// Everything of one play.
+/// All parts of one seed.
 pub struct Site {
     pub members: Vec<Member>,
     store: Store,
-    /// Whether the store is away or silent, or has just forgotten something.
-    store_trouble: Spans,
-    /// The versions that the store has acknowledged, and when.
+    /// The times in which the store does not answer, or has just dropped its history.
+    store_faults: Intervals,
+    /// The versions that the store has acknowledged, with the times.
     acknowledged: Mutex<Vec<(u64, Instant)>>,
     runs: Runs,
     is_stopped: Arc<AtomicBool>,
 }
 
 impl Site {
-    /// Starts all of it, and waits until it is served.
+    /// Starts everything and waits until requests are served.
     pub fn start(seed: u64) -> Self {
         let store = Store::start();
         store.put("op", "config", &document(1));
         let (runs, is_stopped) = (Arc::default(), Arc::default());
         let mut members = Vec::new();
-        for (index, (failure_domain, service)) in PLACES.into_iter().enumerate() {
+        for (index, (failure_domain, service)) in NODES.into_iter().enumerate() {
             let name = format!("soak-{seed}-{index}");
-            let place = Place { name: &name, failure_domain, service };
-            let mut process = Process::prepare(&store, &place);
+            let spec = NodeSpec { name: &name, failure_domain, service };
+            let mut process = Process::prepare(&store, &spec);
             serve(process.target_address(), &name, Arc::clone(&runs));
-            beat(process.ip, service, name.clone(), Arc::clone(&is_stopped));
+            send_heartbeats(process.ip, service, name.clone(), Arc::clone(&is_stopped));
             process.start();
             members.push(Member {
                 ip: process.ip,
                 process: Mutex::new(process),
-                life: AtomicU64::default(),
-                is_harmed: AtomicBool::default(),
-                told_to_stop: Mutex::default(),
-                harm: Spans::default(),
-                stops: Spans::default(),
+                incarnation: AtomicU64::default(),
+                was_disrupted: AtomicBool::default(),
+                stop_requested_at: Mutex::default(),
+                disruptions: Intervals::default(),
+                planned_stops: Intervals::default(),
             });
         }
         let acknowledged = Mutex::new(vec![(1, Instant::now())]);
-        let store_trouble = Spans::default();
-        let site = Self { members, store, store_trouble, acknowledged, runs, is_stopped };
-        assert!(site.wait_until_served(Duration::from_secs(30)).is_some(), "it never was served");
+        let store_faults = Intervals::default();
+        let site = Self { members, store, store_faults, acknowledged, runs, is_stopped };
+        assert!(
+            site.wait_until_served(Duration::from_secs(30)).is_some(),
+            "the site was not served after its start"
+        );
         site
     }
 
-    /// Ends the play.
+    /// Ends the run.
     pub fn stop(&self) {
         self.is_stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the play has ended.
+    /// Whether the run has ended.
     pub fn is_stopped(&self) -> bool {
         self.is_stopped.load(Ordering::Relaxed)
     }
 
-    /// What the targets have run.
-    pub fn runs(&self) -> HashMap<String, Ran> {
+    /// The runs on targets by attempt, without probes and crash requests.
+    pub fn runs(&self) -> HashMap<String, RunRecord> {
         let mut runs = self.runs.lock().unwrap().clone();
-        runs.retain(|attempt, _| !attempt.starts_with("probe") && attempt != CRASHES);
+        runs.retain(|attempt, _| !attempt.starts_with("probe") && attempt != CRASH_PATH);
         runs
     }
 
-    /// Waits until every node serves both routes; gives how long it took.
-    pub fn wait_until_served(&self, patience: Duration) -> Option<Duration> {
-        let began = Instant::now();
+    /// Waits until every node serves both routes. Returns how long it took; none after the timeout.
+    pub fn wait_until_served(&self, timeout: Duration) -> Option<Duration> {
+        let started_at = Instant::now();
         loop {
             let mut is_served = true;
             for member in &self.members {
@@ -169,187 +174,203 @@
                 }
             }
             if is_served {
-                return Some(began.elapsed());
+                return Some(started_at.elapsed());
             }
-            if began.elapsed() > patience {
+            if started_at.elapsed() > timeout {
                 return None;
             }
-            thread::sleep(LOOK_EVERY);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Starts nodes again that have ended, as the platform does.
+    /// Restarts nodes that have ended, as the platform does.
     ///
-    /// A process that is told to stop before it has said that it starts ends by the signal: it has not
-    /// listened yet, so nobody is cut off. From then on it has to end by itself, with success.
+    /// A process that gets SIGTERM before it has logged its start is ended by the signal; it does not listen yet, so
+    /// no connection is lost. After that, it has to exit by itself with success.
     pub fn supervise(&self, findings: &Findings) {
         let mut starts = vec![0; self.members.len()];
         while !self.is_stopped() {
             for (index, member) in self.members.iter().enumerate() {
-                let Some(status) = member.process.lock().unwrap().take_end() else { continue };
-                let is_harmed = member.is_harmed.load(Ordering::Relaxed);
-                let had_started = starts[index];
+                let Some(status) = member.process.lock().unwrap().try_wait() else { continue };
+                let was_disrupted = member.was_disrupted.load(Ordering::Relaxed);
+                let previous_starts = starts[index];
                 starts[index] = member.starts();
-                if !is_harmed && !status.success() && starts[index] > had_started {
+                if !was_disrupted && !status.success() && starts[index] > previous_starts {
                     findings.add(format!("node {index} ended with {status}"));
                 }
-                thread::sleep(DOWN);
-                member.is_harmed.store(false, Ordering::Relaxed);
-                *member.told_to_stop.lock().unwrap() = None;
-                member.life.fetch_add(1, Ordering::Relaxed);
+                thread::sleep(DOWNTIME);
+                member.was_disrupted.store(false, Ordering::Relaxed);
+                *member.stop_requested_at.lock().unwrap() = None;
+                member.incarnation.fetch_add(1, Ordering::Relaxed);
                 member.process.lock().unwrap().start();
             }
-            thread::sleep(LOOK_EVERY);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Asks all nodes which configuration is in force.
+    /// Repeatedly checks the version of the configuration on all nodes.
     pub fn probe(&self, findings: &Findings) {
         let mut seen = vec![(0, 0); self.members.len()];
         while !self.is_stopped() {
             for (index, member) in self.members.iter().enumerate() {
-                let (asked, life) = (Instant::now(), member.life.load(Ordering::Relaxed));
+                let (sent_at, incarnation) =
+                    (Instant::now(), member.incarnation.load(Ordering::Relaxed));
                 let Some(version) = member.version() else { continue };
-                let until = Instant::now();
-                if life != member.life.load(Ordering::Relaxed) {
+                let ended_at = Instant::now();
+                if incarnation != member.incarnation.load(Ordering::Relaxed) {
                     continue;
                 }
-                let (seen_life, seen_version) = seen[index];
-                if seen_life == life && version < seen_version {
-                    findings.add(format!("node {index} went from {seen_version} to {version}"));
+                let (seen_incarnation, seen_version) = seen[index];
+                if seen_incarnation == incarnation && version < seen_version {
+                    findings.add(format!(
+                        "node {index} went back from version {seen_version} to {version}"
+                    ));
                 }
-                seen[index] = (life, version);
-                let due = self.due_at(member, asked, until).unwrap_or(0);
-                if version < due {
-                    findings.add(format!("node {index} has {version}, {due} is due"));
+                seen[index] = (incarnation, version);
+                let required = self.required_version(member, sent_at, ended_at).unwrap_or(0);
+                if version < required {
+                    findings
+                        .add(format!("node {index} has version {version}, required is {required}"));
                 }
             }
-            thread::sleep(LOOK_EVERY);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// The version that was acknowledged last.
-    pub fn newest(&self) -> u64 {
+    /// The version acknowledged last.
+    pub fn newest_version(&self) -> u64 {
         self.acknowledged.lock().unwrap().last().map_or(0, |(version, _)| *version)
     }
 
-    /// The version that has to be in force at a node for a request of the given time, if one has to: the store
-    /// and the node were left alone.
-    pub fn due_at(&self, member: &Member, asked: Instant, ended: Instant) -> Option<u64> {
-        let is_calm = !self.store_trouble.touch(asked - CONTACT, ended);
-        (is_calm && member.is_in_touch(asked, ended)).then(|| self.due(asked))
+    /// The least version that must be in force on a node for a request in the given time; none if the store or the
+    /// node had faults shortly before or during that time.
+    pub fn required_version(
+        &self,
+        member: &Member,
+        sent_at: Instant,
+        ended_at: Instant,
+    ) -> Option<u64> {
+        let is_store_settled = !self.store_faults.any_overlaps(sent_at - SETTLE_TIME, ended_at);
+        (is_store_settled && member.is_settled(sent_at, ended_at))
+            .then(|| self.required_at(sent_at))
     }
 
-    /// The version that has to be in force.
-    fn due(&self, now: Instant) -> u64 {
+    /// The least version that must be in force at `now` without faults.
+    fn required_at(&self, now: Instant) -> u64 {
         let acknowledged = self.acknowledged.lock().unwrap();
-        let is_due = |(_, at): &&(u64, Instant)| *at + CONFIG_APPLY <= now;
-        acknowledged.iter().filter(is_due).map(|(version, _)| *version).max().unwrap_or(0)
+        let is_required = |(_, at): &&(u64, Instant)| *at + CONFIG_APPLY <= now;
+        acknowledged.iter().filter(is_required).map(|(version, _)| *version).max().unwrap_or(0)
     }
 
-    /// Lets a fault happen, to its end.
-    pub fn suffer(&self, kind: Kind) {
+    /// Injects a fault and returns after its end.
+    pub fn inject(&self, kind: FaultKind) {
         match kind {
-            Kind::Stop { member } => self.stop_node(&self.members[member]),
-            Kind::Kill { member } => self.harm(&self.members[member], || {}, libc::SIGKILL),
-            Kind::Freeze { member, for_ms } => {
+            FaultKind::Stop { member } => self.stop_node(&self.members[member]),
+            FaultKind::Kill { member } => self.disrupt(&self.members[member], || {}, libc::SIGKILL),
+            FaultKind::Pause { member, for_ms } => {
                 let member = &self.members[member];
-                let stand_still = || {
+                let pause = || {
                     member.signal(libc::SIGSTOP);
                     thread::sleep(Duration::from_millis(for_ms));
                 };
-                self.harm(member, stand_still, libc::SIGCONT);
+                self.disrupt(member, pause, libc::SIGCONT);
+            }
+            FaultKind::Reload { member } => self.members[member].signal(libc::SIGHUP),
+            FaultKind::StoreUnavailable { for_ms } => {
+                self.inject_store_fault(for_ms, Store::set_unavailable)
+            }
+            FaultKind::StoreUnresponsive { for_ms } => {
+                self.inject_store_fault(for_ms, Store::set_unresponsive)
             }
-            Kind::Reload { member } => self.members[member].signal(libc::SIGHUP),
-            Kind::StoreAway { for_ms } => self.trouble_store(for_ms, Store::set_away),
-            Kind::StoreSilent { for_ms } => self.trouble_store(for_ms, Store::set_silent),
-            Kind::StoreForgets => {
-                let place = self.store_trouble.begin();
-                self.store.forget();
-                self.store_trouble.end(place);
+            FaultKind::StoreDropsHistory => {
+                let index = self.store_faults.begin();
+                self.store.drop_history();
+                self.store_faults.end(index);
             }
-            Kind::Configure { count, gap_ms } => {
+            FaultKind::PublishConfigurations { count, gap_ms } => {
                 for _ in 0..count {
-                    self.configure();
+                    self.publish_configuration();
                     thread::sleep(Duration::from_millis(gap_ms));
                 }
             }
-            Kind::Crash { member, count } => {
+            FaultKind::Crash { member, count } => {
                 self.crash(member, count);
             }
         }
     }
 
-    /// Sends the request that ends targets to one node after the other. Gives how many targets have run it.
+    /// Sends the request that crashes its target to one node after the other. Returns the number of targets that ran it.
     pub fn crash(&self, first: usize, count: usize) -> u32 {
         let before = self.crashes();
         for number in 0..count {
             let member = &self.members[(first + number) % self.members.len()];
-            // Whatever it is answered.
-            drop(member.get(node::CALLERS_PORT, &format!("/look/{CRASHES}"), CRASHES));
-            thread::sleep(CRASH_EVERY);
+            // The answer does not matter.
+            drop(member.get(node::CALLERS_PORT, &format!("/look/{CRASH_PATH}"), CRASH_PATH));
+            thread::sleep(CRASH_INTERVAL);
         }
         self.crashes() - before
     }
 
-    /// How often targets have run the request that ends them.
+    /// How often targets have run the request that crashes them.
     fn crashes(&self) -> u32 {
-        self.runs.lock().unwrap().get(CRASHES).map_or(0, |ran| ran.times)
+        self.runs.lock().unwrap().get(CRASH_PATH).map_or(0, |ran| ran.count)
     }
 
-    /// Writes the next configuration.
-    pub fn configure(&self) {
+    /// Publishes the next configuration.
+    pub fn publish_configuration(&self) {
         let mut acknowledged = self.acknowledged.lock().unwrap();
         let version = acknowledged.last().map_or(1, |(version, _)| version + 3);
         self.store.put("op", "config", &document(version));
         acknowledged.push((version, Instant::now()));
     }
 
-    fn trouble_store(&self, for_ms: u64, set: fn(&Store, bool)) {
-        let place = self.store_trouble.begin();
+    fn inject_store_fault(&self, for_ms: u64, set: fn(&Store, bool)) {
+        let index = self.store_faults.begin();
         set(&self.store, true);
         thread::sleep(Duration::from_millis(for_ms));
         set(&self.store, false);
-        self.store_trouble.end(place);
+        self.store_faults.end(index);
     }
 
-    /// Harms a node: what `harm` does, and a signal at its end. It counts as harmed until it runs again.
-    fn harm(&self, member: &Member, harm: impl FnOnce(), signal: libc::c_int) {
-        let (place, life) = (member.harm.begin(), member.life.load(Ordering::Relaxed));
-        member.is_harmed.store(true, Ordering::Relaxed);
-        harm();
+    /// Disrupts a node: calls `action`, then sends `signal`. The disruption lasts until the node runs again.
+    fn disrupt(&self, member: &Member, action: impl FnOnce(), signal: libc::c_int) {
+        let (index, incarnation) =
+            (member.disruptions.begin(), member.incarnation.load(Ordering::Relaxed));
+        member.was_disrupted.store(true, Ordering::Relaxed);
+        action();
         member.signal(signal);
         if signal == libc::SIGKILL {
-            self.wait_for_next_life(member, life);
+            self.wait_for_restart(member, incarnation);
         }
-        member.harm.end(place);
+        member.disruptions.end(index);
     }
 
-    /// Stops a node as planned, and kills it where it outlasts its grace.
+    /// Stops a node with SIGTERM, and kills it if it has not ended within the grace period.
     fn stop_node(&self, member: &Member) {
-        let (place, life) = (member.stops.begin(), member.life.load(Ordering::Relaxed));
-        member.told_to_stop.lock().unwrap().get_or_insert_with(Instant::now);
+        let (index, incarnation) =
+            (member.planned_stops.begin(), member.incarnation.load(Ordering::Relaxed));
+        member.stop_requested_at.lock().unwrap().get_or_insert_with(Instant::now);
         member.signal(libc::SIGTERM);
-        let until = Instant::now() + GRACE;
-        while member.life.load(Ordering::Relaxed) == life && Instant::now() < until {
-            thread::sleep(LOOK_EVERY);
+        let until = Instant::now() + STOP_GRACE;
+        while member.incarnation.load(Ordering::Relaxed) == incarnation && Instant::now() < until {
+            thread::sleep(POLL_INTERVAL);
         }
-        if member.life.load(Ordering::Relaxed) == life {
-            self.harm(member, || {}, libc::SIGKILL);
+        if member.incarnation.load(Ordering::Relaxed) == incarnation {
+            self.disrupt(member, || {}, libc::SIGKILL);
         }
-        member.stops.end(place);
+        member.planned_stops.end(index);
     }
 
-    fn wait_for_next_life(&self, member: &Member, life: u64) {
-        while member.life.load(Ordering::Relaxed) == life && !self.is_stopped() {
-            thread::sleep(LOOK_EVERY);
+    fn wait_for_restart(&self, member: &Member, incarnation: u64) {
+        while member.incarnation.load(Ordering::Relaxed) == incarnation && !self.is_stopped() {
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Keeps what the nodes have written.
+    /// Keeps the logs of the nodes.
     pub fn keep_logs(&self) {
         for member in &self.members {
-            member.process.lock().unwrap().keep();
+            member.process.lock().unwrap().keep_folder();
         }
     }
 }
--- a/tests/platform/soak/targets.rs
+++ b/tests/platform/soak/targets.rs
@@ -1,4 +1,4 @@
-//! The targets of a play, and the configuration by which they are called.
+//! The targets of one seed, and the configuration that routes requests to them.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
@@ -9,44 +9,44 @@
 
 use serde_json::json;
 
-use super::site::PROBE_PATIENCE;
-use crate::node::{self, TARGET_PORT, TARGETS_PORT};
+use super::site::PROBE_TIMEOUT;
+use crate::node::{self, HEARTBEATS_PORT, TARGET_PORT};
 use crate::target::{self, heartbeat};
 
-/// The pause between two heartbeats of a target.
-const BEAT_EVERY: Duration = Duration::from_millis(400);
+/// The interval between heartbeats of a target.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How many requests a target may run at once.
+/// The number of requests that a target may run at once.
 const SLOTS: u32 = 16;
 
-/// How long a target is away that a request has ended.
-const DOWN: Duration = Duration::from_millis(800);
+/// The pause before a crashed target restarts.
+const DOWNTIME: Duration = Duration::from_millis(800);
 
-/// What targets have run of an attempt.
+/// The runs of one attempt on targets.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ran {
-    /// How often, by any target.
-    pub times: u32,
-    /// When it began last.
-    pub last_began: Option<Instant>,
+pub struct RunRecord {
+    /// The number of runs on all targets.
+    pub count: u32,
+    /// The start of the last run.
+    pub last_started_at: Option<Instant>,
 }
 
-/// What targets have run of each attempt.
-pub type Runs = Arc<Mutex<HashMap<String, Ran>>>;
+/// The runs of all attempts, by attempt id.
+pub type Runs = Arc<Mutex<HashMap<String, RunRecord>>>;
 
-/// The key of a team that always has the same.
+/// The key of a team whose key does not change.
 pub const STEADY_KEY: &str = "steady-key";
 /// The key of a team with a quota.
 pub const LIMITED_KEY: &str = "limited-key";
-/// What that team may send, in requests a second and at once.
-pub const LIMITED: (f64, f64) = (15.0, 15.0);
+/// The quota of that team: requests per second and burst.
+pub const LIMITED_QUOTA: (f64, f64) = (15.0, 15.0);
 
-/// The key of the team that gets a new one with each configuration, and loses the one before.
+/// The key of the team whose key is replaced with each version of the configuration.
 pub fn rotated_key(version: u64) -> String {
     format!("rotated-key-{version}")
 }
 
-/// A configuration: reads of `stock`, and bookings of `orders`, which may run once; and three teams.
+/// A configuration with an idempotent route to `stock`, an at-most-once route to `orders`, and three teams.
 pub fn document(version: u64) -> Vec<u8> {
     let route = |name: &str, kind: &str, service: &str, attempts: u32| {
         json!({
@@ -69,7 +69,7 @@
     };
     let resources = json!([
         team("steady", STEADY_KEY, (0.0, 0.0)),
-        team("limited", LIMITED_KEY, LIMITED),
+        team("limited", LIMITED_KEY, LIMITED_QUOTA),
         team("rotated", &rotated_key(version), (0.0, 0.0)),
         service("stock"),
         service("orders"),
@@ -79,53 +79,57 @@
     json!({ "version": format!("r{version}"), "resources": resources }).to_string().into_bytes()
 }
 
-/// Lets a target say that it is ready for as long as the play lasts.
-pub fn beat(ip: Ipv4Addr, service: &'static str, id: String, is_stopped: Arc<AtomicBool>) {
+/// Sends `ready` heartbeats of a target until the run ends.
+pub fn send_heartbeats(
+    ip: Ipv4Addr,
+    service: &'static str,
+    id: String,
+    is_stopped: Arc<AtomicBool>,
+) {
     thread::spawn(move || {
         let mut sequence = 0;
         while !is_stopped.load(Ordering::Relaxed) {
-            thread::sleep(BEAT_EVERY);
+            thread::sleep(HEARTBEAT_INTERVAL);
             if TcpStream::connect((ip, TARGET_PORT)).is_err() {
                 continue;
             }
             sequence += 1;
             let mut body = heartbeat(service, "ready", sequence);
             body["information"]["slots"] = SLOTS.into();
-            let text = node::farewell_or_beat("Heartbeat", &id, &body.to_string());
-            // A node that is down hears the next one.
-            drop(node::ask(SocketAddr::from((ip, TARGETS_PORT)), &text, PROBE_PATIENCE));
+            let text = node::target_report("Heartbeat", &id, &body.to_string());
+            // A node that is down gets a later heartbeat.
+            drop(node::send_request(SocketAddr::from((ip, HEARTBEATS_PORT)), &text, PROBE_TIMEOUT));
         }
     });
 }
 
-/// A target that notes what it runs and answers with its name and the id of the attempt. A request may end it; it
-/// comes back.
+/// Starts a target that records its runs and answers with its name and the attempt id. It restarts after a crash.
 pub fn serve(address: SocketAddr, name: &str, all_runs: Runs) {
     let signature = name.to_owned();
-    target::serve_lives(address, name, Some(DOWN), move |path| {
+    target::serve_with_restarts(address, name, Some(DOWNTIME), move |path| {
         let attempt = path.rsplit('/').next().unwrap_or_default();
         let attempt = if attempt == "x" { "probe" } else { attempt }.to_owned();
         let mut runs = all_runs.lock().unwrap();
-        let ran = runs.entry(attempt.clone()).or_default();
-        ran.times += 1;
-        ran.last_began = Some(Instant::now());
+        let record = runs.entry(attempt.clone()).or_default();
+        record.count += 1;
+        record.last_started_at = Some(Instant::now());
         drop(runs);
-        thread::sleep(work(&attempt));
+        thread::sleep(service_time(&attempt));
         let body = format!("{signature} {attempt}");
         (attempt, body)
     });
 }
 
-/// With what the id of an attempt begins that takes long.
-pub const LONG: char = 'l';
+/// The first letter of the ids of attempts that run long.
+pub const SLOW_PREFIX: char = 'l';
 
-/// How long a request takes: not long, but for one in twenty, so that some run whatever happens, and those that
-/// are meant to.
-fn work(attempt: &str) -> Duration {
-    let drawn = attempt.bytes().fold(7_u64, |sum, byte| sum * 31 % 1_009 + u64::from(byte));
-    Duration::from_millis(if drawn % 20 == 0 || attempt.starts_with(LONG) {
+/// The service time of a request: 700 ms for ids with [`SLOW_PREFIX`] and for one in twenty others, so that some
+/// requests are running at any fault; otherwise below 55 ms.
+fn service_time(attempt: &str) -> Duration {
+    let hash = attempt.bytes().fold(7_u64, |sum, byte| sum * 31 % 1_009 + u64::from(byte));
+    Duration::from_millis(if hash % 20 == 0 || attempt.starts_with(SLOW_PREFIX) {
         700
     } else {
-        5 + drawn % 50
+        5 + hash % 50
     })
 }
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -1,4 +1,4 @@
-//! A small stand-in for the platform's store: rows, a feed, and days on which it is away.
+//! A stand-in for the platform's store: rows, a long-poll feed, and faults.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -11,35 +11,35 @@
 use base64::engine::general_purpose::STANDARD;
 use serde_json::{Value, json};
 
-/// A row: its table, key, value in base64 and version.
+/// Rows: table and key, with the value in base64 and the version.
 type Rows = BTreeMap<(String, String), (String, u64)>;
 
 #[derive(Default)]
 struct State {
     rows: Rows,
     version: u64,
-    /// Versions up to this one are forgotten.
-    forgotten: u64,
-    is_away: bool,
-    is_silent: bool,
-    /// Connections on which an answer was lost; they stay open and deliver nothing more.
-    lost: Vec<TcpStream>,
-    /// The version after which changes of the operator's table were asked for last.
-    asked_after: u64,
-    /// How many wait for changes of the operator's table.
-    followers: usize,
+    /// The history up to this version is no longer available.
+    history_dropped_to: u64,
+    is_unavailable: bool,
+    is_unresponsive: bool,
+    /// Connections on which an answer was dropped. They stay open without further answers.
+    lost_answers: Vec<TcpStream>,
+    /// The version given in the latest poll of the operator's table.
+    last_watched_version: u64,
+    /// The number of pending polls of the operator's table.
+    watchers: usize,
 }
 
-/// The stand-in.
+/// The stand-in store.
 #[derive(Clone)]
 pub struct Store {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     state: Arc<(Mutex<State>, Condvar)>,
 }
 
 impl Store {
-    /// Starts it with nothing in it.
+    /// Starts an empty store.
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let store = Self { address: listener.local_addr().unwrap(), state: Arc::default() };
@@ -53,50 +53,52 @@
         store
     }
 
-    /// Writes a row as the operator does.
+    /// Writes a row, as the operator does.
     pub fn put(&self, table: &str, key: &str, value: &[u8]) {
         let (state, changed) = &*self.state;
         put(&mut state.lock().unwrap(), table, key, &STANDARD.encode(value));
         changed.notify_all();
     }
 
-    /// Refuses every call from now on, or serves them again.
-    pub fn set_away(&self, is_away: bool) {
+    /// Sets whether the store refuses every request with status 503.
+    pub fn set_unavailable(&self, is_unavailable: bool) {
         let (state, changed) = &*self.state;
-        state.lock().unwrap().is_away = is_away;
+        state.lock().unwrap().is_unavailable = is_unavailable;
         changed.notify_all();
     }
 
-    /// Takes connections and requests from now on and answers none, or only those that come then: what was
-    /// asked or fell due in the silence is never answered.
-    pub fn set_silent(&self, is_silent: bool) {
-        self.state.0.lock().unwrap().is_silent = is_silent;
+    /// Sets whether the store accepts connections and requests but does not answer. Requests that arrive or whose
+    /// answer becomes due while it is unresponsive are never answered.
+    pub fn set_unresponsive(&self, is_unresponsive: bool) {
+        self.state.0.lock().unwrap().is_unresponsive = is_unresponsive;
     }
 
-    /// How many answers were lost in the silence.
-    pub fn lost(&self) -> usize {
-        self.state.0.lock().unwrap().lost.len()
+    /// The number of answers dropped while unresponsive.
+    pub fn lost_answers(&self) -> usize {
+        self.state.0.lock().unwrap().lost_answers.len()
     }
 
-    /// Forgets what has changed so far, but not the rows.
-    pub fn forget(&self) {
+    /// Drops the history of changes, but not the rows.
+    pub fn drop_history(&self) {
         let (state, changed) = &*self.state;
         let mut state = state.lock().unwrap();
         state.version += 1;
-        state.forgotten = state.version;
+        state.history_dropped_to = state.version;
         changed.notify_all();
     }
 
-    /// Waits until somebody has seen all that the operator has written.
+    /// Waits until a watcher has seen all rows that the operator has written.
     pub fn wait_until_seen(&self) {
         let (state, changed) = &*self.state;
         let state = state.lock().unwrap();
-        drop(changed.wait_while(state, |state| state.asked_after < state.version).unwrap());
+        drop(
+            changed.wait_while(state, |state| state.last_watched_version < state.version).unwrap(),
+        );
     }
 
-    /// How many wait at this moment for what the operator writes next.
-    pub fn followers(&self) -> usize {
-        self.state.0.lock().unwrap().followers
+    /// The number of pending polls of the operator's table.
+    pub fn watchers(&self) -> usize {
+        self.state.0.lock().unwrap().watchers
     }
 
     /// The keys of a table.
@@ -110,11 +112,11 @@
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         let mut writer = stream;
         while let Some((path, body)) = read_request(&mut reader) {
-            let was_silent = self.state.0.lock().unwrap().is_silent;
+            let was_unresponsive = self.state.0.lock().unwrap().is_unresponsive;
             let (status, answer) = self.answer(&path, &body);
             let mut state = self.state.0.lock().unwrap();
-            if was_silent || state.is_silent {
-                state.lost.push(writer);
+            if was_unresponsive || state.is_unresponsive {
+                state.lost_answers.push(writer);
                 return;
             }
             drop(state);
@@ -130,14 +132,14 @@
     fn answer(&self, path: &str, body: &[u8]) -> (u16, Value) {
         let (state, changed) = &*self.state;
         let mut state = state.lock().unwrap();
-        if state.is_away {
+        if state.is_unavailable {
             return (503, json!({}));
         }
-        let argument = |name: &str| {
+        let query_parameter = |name: &str| {
             let (_, query) = path.split_once('?')?;
             query.split('&').find_map(|pair| pair.strip_prefix(&format!("{name}=")))
         };
-        let table = argument("table").unwrap_or_default();
+        let table = query_parameter("table").unwrap_or_default();
         if path.starts_with("/aspenspring/rows-tx") {
             let body: Value = serde_json::from_slice(body).unwrap();
             for row in body["put"].as_array().unwrap() {
@@ -153,30 +155,32 @@
             return (200, json!({ "rowVersion": state.version, "nowMs": 0 }));
         }
         if path.starts_with("/aspenspring/rows-get") {
-            let from = argument("rangeStart").unwrap_or_default();
+            let from = query_parameter("rangeStart").unwrap_or_default();
             return (200, answer(&state, table, |key, _| key >= from));
         }
-        let after: u64 = argument("after").unwrap().parse().unwrap();
+        let after: u64 = query_parameter("after").unwrap().parse().unwrap();
         if table == "op" {
-            state.asked_after = after;
-            state.followers += 1;
+            state.last_watched_version = after;
+            state.watchers += 1;
             changed.notify_all();
         }
-        let wait = Duration::from_millis(argument("waitMs").unwrap().parse().unwrap());
-        let has_news = |state: &mut State| {
+        let wait = Duration::from_millis(query_parameter("waitMs").unwrap().parse().unwrap());
+        let is_unchanged = |state: &mut State| {
             let is_new = |((of, _), (_, version)): (&(String, String), &(String, u64))| {
                 of == table && *version > after
             };
-            !state.is_away && state.forgotten <= after && !state.rows.iter().any(is_new)
+            !state.is_unavailable
+                && state.history_dropped_to <= after
+                && !state.rows.iter().any(is_new)
         };
-        let (mut state, _) = changed.wait_timeout_while(state, wait, has_news).unwrap();
+        let (mut state, _) = changed.wait_timeout_while(state, wait, is_unchanged).unwrap();
         if table == "op" {
-            state.followers -= 1;
+            state.watchers -= 1;
         }
-        if state.is_away {
+        if state.is_unavailable {
             return (503, json!({}));
         }
-        if state.forgotten > after {
+        if state.history_dropped_to > after {
             return (410, json!({}));
         }
         (200, answer(&state, table, |_, version| version > after))
--- a/tests/platform/target.rs
+++ b/tests/platform/target.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for targets: what they say of themselves, and how they answer.
+//! Stand-ins for targets: their heartbeats and their answers to requests.
 
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
@@ -10,7 +10,7 @@
 
 use super::store::read_request;
 
-/// A heartbeat of a target that started in millisecond 5,000.
+/// The body of a heartbeat of a target that started at 5,000 ms.
 pub fn heartbeat(service: &str, state: &str, sequence: u64) -> serde_json::Value {
     serde_json::json!({
         "address": "x",
@@ -20,78 +20,78 @@
     })
 }
 
-/// What stands in the path of a request that ends the target that begins to run it.
-pub const CRASHES: &str = "crash";
+/// A request with this in its path crashes the target that runs it.
+pub const CRASH_PATH: &str = "crash";
 
-/// Serves requests at `address`, one after the other on each connection, and signs the answers with `name`.
-/// `run` is given the path, and gives the id of the attempt and the body.
+/// Serves requests at `address`, one at a time on each connection, and signs the answers with `name`. `run` gets
+/// the path and returns the attempt id and the body.
 pub fn serve(
     address: SocketAddr,
     name: &str,
     run: impl Fn(&str) -> (String, String) + Send + Sync + 'static,
 ) {
-    serve_lives(address, name, None, run);
+    serve_with_restarts(address, name, None, run);
 }
 
-/// The same, of a target that ends with all its connections at a request whose path holds `CRASHES`, and comes back
-/// after `down`, if at all.
-pub fn serve_lives(
+/// Like [`serve`], but a request whose path contains [`CRASH_PATH`] ends the target with all its connections. It
+/// restarts after `downtime`, or never if there is none.
+pub fn serve_with_restarts(
     address: SocketAddr,
     name: &str,
-    down: Option<Duration>,
+    downtime: Option<Duration>,
     run: impl Fn(&str) -> (String, String) + Send + Sync + 'static,
 ) {
     let mut listener = TcpListener::bind(address).unwrap();
     let (name, run) = (name.to_owned(), Arc::new(run));
     thread::spawn(move || {
         loop {
-            serve_life(&listener, &name, &run);
+            serve_incarnation(&listener, &name, &run);
             drop(listener);
-            let Some(down) = down else { return };
-            thread::sleep(down);
+            let Some(downtime) = downtime else { return };
+            thread::sleep(downtime);
             listener = TcpListener::bind(address).unwrap();
         }
     });
 }
 
-/// Serves one life of a target, to its end.
-fn serve_life<R>(listener: &TcpListener, name: &str, run: &Arc<R>)
+/// Serves one incarnation of a target until its end.
+fn serve_incarnation<R>(listener: &TcpListener, name: &str, run: &Arc<R>)
 where
     R: Fn(&str) -> (String, String) + Send + Sync + 'static,
 {
-    let life = Arc::new(Life::default());
+    let incarnation = Arc::new(Incarnation::default());
     let address = listener.local_addr().unwrap();
     for stream in listener.incoming() {
         let stream = stream.unwrap();
-        let Some(number) = life.take(&stream) else { return };
-        let (name, run, life) = (name.to_owned(), Arc::clone(run), Arc::clone(&life));
+        let Some(number) = incarnation.add(&stream) else { return };
+        let (name, run, incarnation) = (name.to_owned(), Arc::clone(run), Arc::clone(&incarnation));
         thread::spawn(move || {
             let mut writer = stream.try_clone().unwrap();
             let mut reader = BufReader::new(stream);
             while let Some((path, _)) = read_request(&mut reader) {
                 let (attempt, body) = run(&path);
-                if path.contains(CRASHES) {
-                    return life.end(address);
+                if path.contains(CRASH_PATH) {
+                    return incarnation.end(address);
                 }
-                drop(writer.write_all(answer_of(&attempt, &name, &body).as_bytes()));
+                drop(writer.write_all(response_text(&attempt, &name, &body).as_bytes()));
             }
-            life.leave(number);
+            incarnation.remove(number);
         });
     }
 }
 
-/// The connections of one life of a target that are open, by their number; none once it has ended.
-struct Life(Mutex<Option<HashMap<usize, TcpStream>>>);
+/// The open connections of one incarnation of a target, by number; none after its end.
+struct Incarnation(Mutex<Option<HashMap<usize, TcpStream>>>);
 
-impl Default for Life {
+impl Default for Incarnation {
     fn default() -> Self {
         Self(Mutex::new(Some(HashMap::new())))
     }
 }
 
-impl Life {
-    /// Adds a connection, and gives its number; none where the target has ended.
-    fn take(&self, stream: &TcpStream) -> Option<usize> {
+impl Incarnation {
+    /// Adds a connection and returns its number; none if the target has ended.
+    fn add(&self, stream: &TcpStream) -> Option<usize> {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let mut connections = self.0.lock().unwrap();
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -99,17 +99,17 @@
         Some(number)
     }
 
-    /// Forgets a connection that its other end has closed.
-    fn leave(&self, number: usize) {
+    /// Removes a connection that the peer has closed.
+    fn remove(&self, number: usize) {
         if let Some(connections) = self.0.lock().unwrap().as_mut() {
             connections.remove(&number);
         }
     }
 
-    /// Ends the target.
+    /// Ends the target and closes its connections.
     fn end(&self, address: SocketAddr) {
         let Some(connections) = self.0.lock().unwrap().take() else { return };
-        // Wakes the listener, which is closed then.
+        // Unblocks the accept loop, which then closes the listener.
         drop(TcpStream::connect(address));
         for connection in connections.into_values() {
             drop(connection.shutdown(Shutdown::Both));
@@ -117,8 +117,8 @@
     }
 }
 
-/// A whole answer of a target.
-fn answer_of(attempt: &str, name: &str, body: &str) -> String {
+/// The complete answer of a target.
+fn response_text(attempt: &str, name: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nAttempt-Id: {attempt}\r\nResponse-Signature: {name}\r\n\
          Content-Length: {}\r\n\r\n{body}",
