--- a/src/mesh/ingress.rs
+++ b/src/mesh/ingress.rs
@@ -26,7 +26,7 @@
 use super::peers::pause_after;
 use super::sender::{self, Outcome, Request};
 use super::site::{Route, Site};
-use super::teams::admission::{self, Holder, NoHolder, OverQuota};
+use super::teams::admission::{self, Identity, OverQuota, Unauthenticated};
 use super::trail::{Answering, Ended, Trail, note_end};
 
 /// How much memory request bodies may take, as a share of what the node may use.
@@ -197,7 +197,7 @@
     let (outcome, mut trail) = send(node, &route, &request, parent.as_ref()).await;
     trail.team = Rc::clone(&request.team);
     if parent.is_none() && matches!(outcome, Outcome::NotRun { .. }) {
-        admission::give_back(node, &request.team);
+        admission::refund_token(node, &request.team);
     }
     if let Some(parent) = parent.filter(|_| !outcome.went_well()) {
         parent.has_failed_below.set(true);
@@ -261,9 +261,9 @@
     }
 
     fn over_quota(over: OverQuota, team: &Rc<str>) -> Self {
-        let come_back_ms = (over.come_back.as_millis() as u64).max(RETRY_AFTER_QUOTA_MIN_MS);
+        let come_back_ms = (over.retry_after.as_millis() as u64).max(RETRY_AFTER_QUOTA_MIN_MS);
         let mut refused = Self::new(NotRun::OverQuota, come_back_ms, team);
-        refused.trail.quota = Some(over.known);
+        refused.trail.quota = Some(over.state);
         refused
     }
 }
@@ -277,19 +277,19 @@
     attempt_id: &str,
 ) -> Result<Entered, Refused> {
     let nobody: Rc<str> = Rc::default();
-    let holder = admission::holder(site, route, headers, &node.vocabulary.api_key);
+    let holder = admission::authenticate(site, route, headers, &node.vocabulary.api_key);
     let is_orphan = match &holder {
-        Ok(Holder::Team(_)) => false,
-        Ok(Holder::Anyone) => node.ancestry.was_withdrawn(attempt_id),
-        Err(NoHolder) => node.ancestry.is_orphan(attempt_id),
+        Ok(Identity::Team(_)) => false,
+        Ok(Identity::Anonymous) => node.ancestry.was_withdrawn(attempt_id),
+        Err(Unauthenticated) => node.ancestry.is_orphan(attempt_id),
     };
     if is_orphan {
         return Err(Refused::new(NotRun::Orphaned, RETRY_AFTER_ORPHANED_MS, &nobody));
     }
     let Ok(holder) = holder else { return Err(Refused::new(NotRun::NoKey, 0, &nobody)) };
     let (team, rank) = match &holder {
-        Holder::Team(team) => (&team.name, site.rank(route, Some(team))),
-        Holder::Anyone => (&nobody, site.rank(route, None)),
+        Identity::Team(team) => (&team.name, site.rank(route, Some(team))),
+        Identity::Anonymous => (&nobody, site.rank(route, None)),
     };
     if node.is_closing() {
         return Err(Refused::new(NotRun::Closing, RETRY_AFTER_CLOSING_MS, team));
@@ -299,7 +299,7 @@
     if admitted.is_none() {
         return Err(Refused::new(NotRun::Shed, come_back_ms(node, route), team));
     }
-    if let Holder::Team(team) = &holder {
+    if let Identity::Team(team) = &holder {
         admission::admit(node, team).await.map_err(|over| Refused::over_quota(over, &team.name))?;
     }
     Ok(Entered { team: Rc::clone(team), rank, _admitted: admitted })
--- a/src/mesh/node.rs
+++ b/src/mesh/node.rs
@@ -340,7 +340,7 @@
         if !site.teams.is_empty() {
             let fleet = self.directory.fleet(self.is_stopping());
             self.quotas.set_fleet(fleet, Instant::now());
-            admission::give_back_unused(self);
+            admission::return_expired_tokens(self);
         }
         let services = self.directory.services(&status);
         let entries = self.directory.linked() + 1;
--- a/src/mesh/peers.rs
+++ b/src/mesh/peers.rs
@@ -113,7 +113,7 @@
             node.quarantine.clear(fingerprint);
         }
         Frame::Suspicions(suspicions) => blame::take_suspicions(node, &suspicions, "peer"),
-        Frame::QuotaGranted { team, grant } => admission::take_answer(node, &link, team, grant),
+        Frame::QuotaGranted { team, grant } => admission::handle_answer(node, &link, team, grant),
         Frame::Site { document } => match node.take_document(&document, "peer") {
             Ok(_) => {}
             Err(error) => {
@@ -218,7 +218,9 @@
                 link.send(&Frame::Site { document: in_force.document });
             }
         }
-        Frame::QuotaWanted { team, tokens } => admission::answer(&node, &link, team, tokens),
+        Frame::QuotaWanted { team, tokens } => {
+            admission::answer_token_request(&node, &link, team, tokens)
+        }
         Frame::QuotaReturned { team, tokens } => {
             node.quotas.put_back(&team, tokens, Instant::now());
         }
--- a/src/mesh/site.rs
+++ b/src/mesh/site.rs
@@ -117,7 +117,7 @@
     /// The rank of a caller's request: a team's goes before its route's, so that requests of teams of the same
     /// rank are told apart by their routes. A request without a team comes after all that have one.
     pub fn rank(&self, route: &Route, team: Option<&Team>) -> u8 {
-        let place = team.map_or(self.teams.rank_places() - 1, |team| self.teams.rank_place(team));
+        let place = team.map_or(self.teams.rank_count() - 1, |team| self.teams.rank_index(team));
         let before = place.saturating_mul(usize::from(self.rank_max) + 1);
         u8::try_from(before + usize::from(route.rank)).unwrap_or(u8::MAX)
     }
@@ -158,7 +158,7 @@
 
     /// The least important rank of any request.
     pub fn rank_max(&self) -> u8 {
-        let ranks = self.teams.rank_places() * (usize::from(self.rank_max) + 1);
+        let ranks = self.teams.rank_count() * (usize::from(self.rank_max) + 1);
         u8::try_from(ranks - 1).unwrap_or(u8::MAX)
     }
 }
--- a/src/mesh/teams/admission.rs
+++ b/src/mesh/teams/admission.rs
@@ -26,28 +26,28 @@
 
 /// The team that a request is attributed to.
 #[derive(Clone, Debug)]
-pub enum Holder {
+pub enum Identity {
     /// The team that the key of the request belongs to.
     Team(Rc<Team>),
     /// No team: the site has no teams, or the route needs no key and the request has no valid one.
-    Anyone,
+    Anonymous,
 }
 
 /// A request without a valid key, on a route that needs one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoHolder;
+pub struct Unauthenticated;
 
 /// Attributes a request to a team by its key.
 ///
 /// A request with several key headers counts as one without a key, as it is ambiguous which of them applies.
-pub fn holder(
+pub fn authenticate(
     site: &Site,
     route: &Route,
     headers: &HeaderMap,
     key_header: &http::HeaderName,
-) -> Result<Holder, NoHolder> {
+) -> Result<Identity, Unauthenticated> {
     if site.teams.is_empty() {
-        return Ok(Holder::Anyone);
+        return Ok(Identity::Anonymous);
     }
     let mut keys = headers.get_all(key_header).iter();
     let found = match (keys.next(), keys.next()) {
@@ -55,9 +55,9 @@
         _ => None,
     };
     match found {
-        Some(team) => Ok(Holder::Team(Rc::clone(team))),
-        None if route.needs_no_key => Ok(Holder::Anyone),
-        None => Err(NoHolder),
+        Some(team) => Ok(Identity::Team(Rc::clone(team))),
+        None if route.needs_no_key => Ok(Identity::Anonymous),
+        None => Err(Unauthenticated),
     }
 }
 
@@ -65,14 +65,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct OverQuota {
     /// The time after which the caller may retry.
-    pub come_back: Duration,
+    pub retry_after: Duration,
     /// The state of the quota when the request was refused.
-    pub known: QuotaKnown,
+    pub state: QuotaState,
 }
 
 /// The state of a quota, as known to the entry node that refused a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct QuotaKnown {
+pub struct QuotaState {
     /// The quota.
     pub quota: Quota,
     /// The tokens that the owner had granted over the last five seconds, and the age of that report. None if no
@@ -80,7 +80,7 @@
     pub used: Option<(u32, Duration)>,
 }
 
-impl fmt::Display for QuotaKnown {
+impl fmt::Display for QuotaState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Quota { per_s, burst } = self.quota;
         match self.used {
@@ -189,11 +189,11 @@
 fn into_result(decision: Decision, quota: Quota, held: &TeamLease) -> Result<(), OverQuota> {
     let Decision::Refused { retry_after } = decision else { return Ok(()) };
     let used = held.lease.borrow().used(Instant::now());
-    Err(OverQuota { come_back: retry_after, known: QuotaKnown { quota, used } })
+    Err(OverQuota { retry_after, state: QuotaState { quota, used } })
 }
 
 /// Answers an entry node that requests tokens of a team's quota; without a grant if this node is not the owner.
-pub fn answer(node: &Node, link: &Link, team: String, wanted: u32) {
+pub fn answer_token_request(node: &Node, link: &Link, team: String, wanted: u32) {
     let grant = node.site().and_then(|site| {
         let found = site.teams.team(&team)?;
         node.quotas.grant(&found.name, found.quota?, wanted, Instant::now())
@@ -208,7 +208,7 @@
 }
 
 /// Handles the answer of a node that was asked for tokens. Returns tokens that came too late.
-pub fn take_answer(node: &Node, link: &Link, team: String, grant: Option<QuotaGrant>) {
+pub fn handle_answer(node: &Node, link: &Link, team: String, grant: Option<QuotaGrant>) {
     let Some(held) = node.quotas.existing_lease(&team) else { return };
     held.asked_wrong_node.set(grant.is_none());
     let grant = grant.map(|grant| Grant {
@@ -225,14 +225,14 @@
 }
 
 /// Returns the token of a request that was admitted and has not run. Does nothing for a request without a team.
-pub fn give_back(node: &Node, team: &str) {
+pub fn refund_token(node: &Node, team: &str) {
     if let Some(held) = node.quotas.existing_lease(team) {
         held.lease.borrow_mut().put_back(Instant::now());
     }
 }
 
 /// Returns the tokens of expired leases to the owners.
-pub fn give_back_unused(node: &Node) {
+pub fn return_expired_tokens(node: &Node) {
     let now = Instant::now();
     for (team, tokens) in node.quotas.take_expired(now) {
         let Some(owner) = node.quotas.owner(&team) else {
--- a/src/mesh/teams/roster.rs
+++ b/src/mesh/teams/roster.rs
@@ -119,13 +119,13 @@
     }
 
     /// The number of distinct ranks of teams; one if no team has a rank.
-    pub fn rank_places(&self) -> usize {
+    pub fn rank_count(&self) -> usize {
         self.ranks.len().max(1)
     }
 
     /// The index of a team's rank among the distinct ranks. A team without a rank gets the last index.
-    pub fn rank_place(&self, team: &Team) -> usize {
-        let place = self.ranks.iter().position(|rank| Some(*rank) == team.rank);
-        place.unwrap_or(self.rank_places() - 1)
+    pub fn rank_index(&self, team: &Team) -> usize {
+        let index = self.ranks.iter().position(|rank| Some(*rank) == team.rank);
+        index.unwrap_or(self.rank_count() - 1)
     }
 }
--- a/src/mesh/trail.rs
+++ b/src/mesh/trail.rs
@@ -16,7 +16,7 @@
 use super::node::Node;
 use super::sender::Outcome;
 use super::site::Route;
-use super::teams::admission::QuotaKnown;
+use super::teams::admission::QuotaState;
 
 /// Where a request was offered.
 #[derive(Clone, Debug, Default)]
@@ -32,7 +32,7 @@
     /// The team whose key let it in; empty where no key did.
     pub team: Rc<str>,
     /// What was known of the team's quota, where the request was beyond it.
-    pub quota: Option<QuotaKnown>,
+    pub quota: Option<QuotaState>,
 }
 
 /// A request as the trail needs it.
@@ -83,7 +83,7 @@
         repeats_percent: (node.budgets.left(&trail.service) * 100.0) as u32,
         config_version: node.site_version(),
         team: trail.team.to_string(),
-        quota: trail.quota.as_ref().map(QuotaKnown::to_string).unwrap_or_default(),
+        quota: trail.quota.as_ref().map(QuotaState::to_string).unwrap_or_default(),
         fingerprint: trail.held.map(|held| held.to_string()).unwrap_or_default(),
         took_ms,
     });
