--- a/src/platform/members.rs
+++ b/src/platform/members.rs
@@ -19,7 +19,7 @@
 use crate::mesh::peers;
 
 /// The table of nodes: the key is a node's address, the value its failure domain. Also contains the rows of
-/// [`quarantine`].
+/// the module `quarantine`.
 pub const TABLE: &str = "nodes";
 /// The timeout of a read of rows.
 const READ_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -72,7 +72,7 @@
             last = row.as_ref().ok().or(last);
         }
         let Some(last) = last.filter(|_| page.has_more) else { return Ok(()) };
-        // The range start is inclusive.
+        // Sorts after the last key, as the range start is inclusive.
         from = format!("{}~", last.key);
     }
 }
