--- a/src/mesh/site.rs
+++ b/src/mesh/site.rs
@@ -117,8 +117,7 @@
     /// The rank of a caller's request. The rank of the team counts first; among teams of the same
     /// rank, the rank of the route decides. A request without a team ranks below all that have one.
     pub fn rank(&self, route: &Route, team: Option<&Team>) -> u8 {
-        let position =
-            team.map_or(self.teams.rank_places() - 1, |team| self.teams.rank_place(team));
+        let position = team.map_or(self.teams.rank_count() - 1, |team| self.teams.rank_index(team));
         let outranked = position.saturating_mul(usize::from(self.rank_max) + 1);
         u8::try_from(outranked + usize::from(route.rank)).unwrap_or(u8::MAX)
     }
@@ -160,7 +159,7 @@
 
     /// The least important rank that a request can have.
     pub fn rank_max(&self) -> u8 {
-        let ranks = self.teams.rank_places() * (usize::from(self.rank_max) + 1);
+        let ranks = self.teams.rank_count() * (usize::from(self.rank_max) + 1);
         u8::try_from(ranks - 1).unwrap_or(u8::MAX)
     }
 }
--- a/src/platform/names.rs
+++ b/src/platform/headers.rs
@@ -1,10 +1,10 @@
-//! The platform's names of headers.
+//! Names of the HTTP headers defined by the platform.
 
 use http::HeaderName;
 
 use crate::mesh::header_names::HeaderNames;
 
-/// The headers by what they mean.
+/// The header names by meaning.
 pub fn header_names() -> HeaderNames {
     HeaderNames {
         attempt_id: HeaderName::from_static("attempt-id"),
