--- a/src/explain/cause.rs
+++ b/src/explain/cause.rs
@@ -1,4 +1,4 @@
-//! Why a request ended as it did.
+//! Determines from log lines why a request ended the way it did.
 
 use std::fmt;
 
@@ -7,69 +7,69 @@
 use super::line::Line;
 use super::step::{CALLER_LEFT, Role, Step};
 
-/// How far around the end of a step a node's lines about itself may bear on it, in milliseconds: a
-/// node that was lost is noticed within 2.5 s, and its successor needs a moment more to start.
+/// Node events within this many milliseconds of a step's end are given as context: the loss of a
+/// node is noticed within 2.5 s, and the restarted node needs a little longer to start.
 const CONTEXT_MS: u64 = 4_000;
-/// The most lines that are given as context.
+/// Maximum number of context lines.
 const CONTEXT_MAX: usize = 12;
-/// A link that was silent for longer than this, in milliseconds, was lost for its silence and not
-/// because the other side closed it.
-const SILENT_MS: u64 = 1_500;
+/// A connection that was silent for longer than this, in milliseconds, was lost to a timeout; with
+/// less silence, the peer closed it.
+const SILENCE_MIN_MS: u64 = 1_500;
 
-/// A call that expired within this time, in milliseconds, had not waited.
-const AT_ONCE_MS: u64 = 3;
-/// The status of a target whose own time was over.
+/// A call that expired within this time, in milliseconds, was not queued.
+const NOT_QUEUED_MAX_MS: u64 = 3;
+/// The status with which a target reports that its own time limit passed.
 const GATEWAY_TIMEOUT: u64 = 504;
 
-/// Why a request ended as it did.
+/// Why a request ended the way it did.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "cause", rename_all = "snake_case")]
 pub enum Cause {
-    /// No line tells of it.
+    /// No log line mentions the request.
     NotLogged,
-    /// It was answered by the target, in time as far as the logs say.
+    /// The target answered, in time as far as the logs show.
     WentWell {
         /// How long the caller waited, in milliseconds.
         took_ms: u64,
-        /// How often it reached a target.
+        /// How many times it reached a target.
         arrivals: u64,
     },
-    /// Its caller closed the connection before it had the answer.
+    /// The caller closed the connection before it received the answer.
     CallerLeft {
-        /// The entry.
+        /// The entry node.
         node: String,
-        /// How long after the request had been read that was noticed, in milliseconds.
+        /// Time from reading the request to noticing the close, in milliseconds.
         took_ms: u64,
-        /// When that was: `reading`, `waiting` or `answered`.
+        /// The state of the request at that time: `reading`, `waiting` or `answered`.
         noticed: String,
     },
-    /// The entry refused it as a service further down had no room.
+    /// The entry node shed the request because a downstream service was overloaded.
     Shed {
-        /// The entry.
+        /// The entry node.
         node: String,
-        /// That service; empty where the line does not tell.
+        /// The overloaded service; empty if the log line does not name it.
         service: String,
-        /// How many in 100 requests of its route were let in at that moment.
+        /// Percentage of the route's requests that were admitted at the time.
         admitted_percent: u64,
     },
-    /// It waited for a busy target until its time was over, or found the queue full.
+    /// The deadline passed in the queue of a busy target, or the queue was full.
     Busy {
-        /// The node beside the target.
+        /// The node of the target.
         node: String,
-        /// Its service.
+        /// The target's service.
         service: String,
         /// `expired` or `queue-full`.
         reason: String,
-        /// Requests that ran there.
+        /// Requests running on the target.
         running: u64,
-        /// Requests that waited there.
+        /// Requests queued for the target.
         waiting: u64,
-        /// How many may run there at once.
+        /// Maximum number of requests running at once.
         limit: u64,
         /// Whether that target, or its node, had only just started.
         has_just_started: bool,
     },
-    /// No node was known whose target takes work of the service.
+    /// No known node had a target that accepts requests for the service.
     NoTarget {
         /// The node that looked for one.
         node: String,
@@ -78,80 +78,80 @@
         /// `no-target`, `leaving`, `target-unreachable` or `unsent`.
         reason: String,
     },
-    /// It is held back, as targets that ran the same request have ended.
+    /// The request is quarantined: targets that ran the same request have crashed.
     HeldBack {
-        /// What all attempts at the request have in common.
+        /// The fingerprint that all attempts of the request share.
         fingerprint: String,
     },
-    /// Nobody holds the key that it carried, or it carried none, or several.
+    /// No team has the API key of the request, or the request had no key or several.
     NoKey {
-        /// The entry.
+        /// The entry node.
         node: String,
-        /// The version of the configuration that the entry went by.
+        /// The configuration version that the entry node applied.
         config_version: u64,
     },
-    /// The quota of its team was used up.
+    /// The quota of the team was used up.
     OverQuota {
-        /// The entry.
+        /// The entry node.
         node: String,
         /// The team.
         team: String,
-        /// What the entry knew of the quota.
+        /// What the entry node knew of the quota.
         quota: String,
-        /// The version of the configuration that the entry went by.
+        /// The configuration version that the entry node applied.
         config_version: u64,
     },
-    /// It was a call for a run that had ended, or that began before the node did.
+    /// The parent request of the call had ended, or had begun before the node started.
     Orphaned {
         /// The node.
         node: String,
     },
-    /// The node that took it was about to end.
+    /// The node that received the request was shutting down.
     Closing {
         /// That node.
         node: String,
     },
-    /// So much of its time was used up above that a call made for it came too late to be run.
+    /// So little of the deadline was left that a nested call arrived too late to run.
     TimeUsedUp {
-        /// The node beside the target that the call came to.
+        /// The node of the target that the call was sent to.
         node: String,
         /// The service of that target.
         service: String,
-        /// How long the caller's request had taken, in milliseconds.
+        /// How long the caller's request took, in milliseconds.
         took_ms: u64,
         /// Whether that target, or its node, had only just started.
         has_just_started: bool,
     },
-    /// The target had it and did not answer in time.
+    /// The target received the request and did not answer in time.
     Slow {
-        /// The node beside the target.
+        /// The node of the target.
         node: String,
         /// The service.
         service: String,
-        /// How long it was waited for, in milliseconds.
+        /// How long the sender waited for the answer, in milliseconds.
         took_ms: u64,
-        /// Whether the node beside the target wrote nothing of it.
+        /// Whether the node of the target logged nothing about the request.
         is_silent: bool,
     },
-    /// The connection to the node that had it was lost.
+    /// The connection to the node that was handling the request was lost.
     LinkLost {
-        /// The node that had it.
+        /// The node that was handling it.
         peer: String,
-        /// How long nothing had come from there, in milliseconds.
+        /// How long nothing had been received from that node, in milliseconds.
         silent_ms: u64,
-        /// Whether that node, or its successor, tells that it ended or started.
+        /// Whether that node, or its replacement, logged a stop or a start.
         has_restarted: bool,
     },
-    /// The target failed it.
+    /// The target failed the request.
     TargetFailed {
-        /// The node beside the target.
+        /// The node of the target.
         node: String,
         /// The service.
         service: String,
-        /// `target-failed`, `target-broke`, `target-declined`, or `call-failed` where a call that it made
-        /// failed of which no line tells.
+        /// `target-failed`, `target-broke`, `target-declined`, or `call-failed` for a failed nested
+        /// call that no log line mentions.
         reason: String,
-        /// What its node noticed; empty where that is the status only.
+        /// What the node observed; empty if that is only the status.
         detail: String,
     },
 }
@@ -160,30 +160,30 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotLogged => f.write_str(
-                "no line tells of it: it went well, or its line was left out, or the log of its \
-                 entry is missing",
+                "no log line mentions it: it succeeded, its line was suppressed, or the log of its \
+                 entry node is missing",
             ),
             Self::WentWell { took_ms, arrivals } => {
-                write!(f, "answered after {took_ms} ms, having reached a target {arrivals} time(s)")
+                write!(f, "answered after {took_ms} ms; it reached a target {arrivals} time(s)")
             }
             Self::Shed { node, service, admitted_percent } => {
-                let service = if service.is_empty() { "a service further down" } else { service };
+                let service = if service.is_empty() { "a downstream service" } else { service };
                 write!(
                     f,
-                    "refused by {node} before anything ran: {service} had no room, and \
-                     {admitted_percent} in 100 requests of its route were let in"
+                    "refused by {node} before anything ran: {service} was overloaded, and \
+                     {admitted_percent}% of the requests of its route were admitted"
                 )
             }
             Self::Busy { node, service, reason, running, waiting, limit, has_just_started } => {
                 let how = if reason == "expired" {
-                    "it waited until its time was over"
+                    "the deadline passed in its queue"
                 } else {
-                    "the queue was full"
+                    "its queue was full"
                 };
                 write!(
                     f,
-                    "the target of {service} beside {node} was busy ({running} of {limit} ran, \
-                     {waiting} waited): {how}"
+                    "the target of {service} at {node} was busy ({running} of {limit} running, \
+                     {waiting} queued): {how}"
                 )?;
                 if *has_just_started {
                     f.write_str("; that target or its node had only just started")?;
@@ -191,10 +191,10 @@
                 Ok(())
             }
             Self::NoTarget { node, service, reason } => {
-                write!(f, "{node} found no target of {service} that takes work ({reason})")
+                write!(f, "{node} found no target of {service} that accepts requests ({reason})")
             }
             Self::HeldBack { fingerprint } => {
-                write!(f, "held back, as targets that began to run the same request have ended")?;
+                write!(f, "quarantined, because targets crashed while running the same request")?;
                 if !fingerprint.is_empty() {
                     write!(f, " ({fingerprint})")?;
                 }
@@ -202,12 +202,12 @@
             }
             Self::CallerLeft { node, took_ms, noticed } => write!(
                 f,
-                "its caller closed the connection to {node}, noticed after {took_ms} ms ({noticed})"
+                "the caller closed its connection to {node}, noticed after {took_ms} ms ({noticed})"
             ),
             Self::NoKey { node, config_version } => write!(
                 f,
-                "refused by {node}: by configuration {config_version} no team holds the key that it \
-                 carried, or it carried none or several"
+                "refused by {node}: in configuration {config_version} no team has its API key, or it \
+                 had none or several"
             ),
             Self::OverQuota { node, team, quota, config_version } => write!(
                 f,
@@ -216,13 +216,13 @@
             ),
             Self::Orphaned { node } => write!(
                 f,
-                "given up by {node}: it was a call for a run that had ended, or that began before the node"
+                "abandoned by {node}: its parent request had ended, or had begun before the node started"
             ),
-            Self::Closing { node } => write!(f, "{node} was about to end"),
+            Self::Closing { node } => write!(f, "{node} was shutting down"),
             Self::TimeUsedUp { node, service, took_ms, has_just_started } => {
                 write!(
                     f,
-                    "its {took_ms} ms were used up before a call to {service} beside {node} could run"
+                    "its {took_ms} ms were used up before a call to {service} at {node} could run"
                 )?;
                 if *has_just_started {
                     f.write_str("; that target or its node had only just started")?;
@@ -230,27 +230,27 @@
                 Ok(())
             }
             Self::Slow { node, service, took_ms, is_silent } => {
-                write!(
-                    f,
-                    "the target of {service} beside {node} did not answer within {took_ms} ms"
-                )?;
+                write!(f, "the target of {service} at {node} did not answer within {took_ms} ms")?;
                 if *is_silent {
-                    f.write_str("; that node wrote nothing of it")?;
+                    f.write_str("; that node logged nothing about it")?;
                 }
                 Ok(())
             }
             Self::LinkLost { peer, silent_ms, has_restarted } => {
-                let how = if *silent_ms > SILENT_MS { "fell silent" } else { "was closed" };
-                write!(f, "the connection to {peer}, which had it, {how} ({silent_ms} ms silent)")?;
+                let how = if *silent_ms > SILENCE_MIN_MS { "fell silent" } else { "was closed" };
+                write!(
+                    f,
+                    "the connection to {peer}, which handled it, {how} ({silent_ms} ms silent)"
+                )?;
                 if *has_restarted {
-                    f.write_str("; that node ended or started around then")?;
+                    f.write_str("; that node stopped or started around then")?;
                 }
                 Ok(())
             }
             Self::TargetFailed { node, service, reason, detail } => {
-                write!(f, "the target of {service} beside {node} failed it ({reason})")?;
+                write!(f, "the target of {service} at {node} failed it ({reason})")?;
                 if reason == "call-failed" {
-                    f.write_str(": a call that it made failed, of which no line tells")?;
+                    f.write_str(": a nested call failed that no log line mentions")?;
                 }
                 if !detail.is_empty() {
                     write!(f, ": {detail}")?;
@@ -261,9 +261,9 @@
     }
 }
 
-/// The cause, and the lines that nodes wrote about themselves that bear on it.
-pub fn find(steps: &[Step], lines: &[Line]) -> (Cause, Vec<Line>) {
-    let Some(deepest) = deepest_failed(steps) else {
+/// The cause, and the node events that may have contributed to it.
+pub fn find_cause(steps: &[Step], lines: &[Line]) -> (Cause, Vec<Line>) {
+    let Some(deepest) = deepest_failed_step(steps) else {
         let entry = steps.iter().find(|step| step.role == Role::Entry);
         let cause = entry.map_or(Cause::NotLogged, |entry| Cause::WentWell {
             took_ms: entry.took_ms,
@@ -271,22 +271,22 @@
         });
         return (cause, Vec::new());
     };
-    let had_it = deepest.offered.last().filter(|_| deepest.role == Role::Entry);
-    let had_it = had_it.unwrap_or(&deepest.node);
-    let context = context(deepest, had_it, lines);
-    (cause_of(deepest, had_it, steps, &context), context)
+    let last_node = deepest.offered.last().filter(|_| deepest.role == Role::Entry);
+    let last_node = last_node.unwrap_or(&deepest.node);
+    let context = context(deepest, last_node, lines);
+    (cause_of_step(deepest, last_node, steps, &context), context)
 }
 
-/// The failed step from which the others follow: down from the caller's request, at each level the
-/// failed call that ended last, as that is the one that failed its parent.
-fn deepest_failed(steps: &[Step]) -> Option<&Step> {
+/// The failed step that made the others fail. Follows the calls down from the caller's request; at
+/// each depth the failed call that ended last is the one that failed its parent.
+fn deepest_failed_step(steps: &[Step]) -> Option<&Step> {
     let mut found = steps.iter().find(|step| step.depth == 0 && step.has_failed())?;
-    // Whatever failed below was withdrawn for it.
+    // Failures of nested calls are a consequence: they were withdrawn.
     if found.reason == CALLER_LEFT {
         return Some(found);
     }
     loop {
-        let is_below = |step: &&Step| {
+        let is_caused_by_found = |step: &&Step| {
             step.has_failed()
                 && step.attempt.strip_prefix(found.attempt.as_str()).is_some_and(|rest| {
                     let is_call = rest.starts_with('.') && rest.matches('.').count() == 1;
@@ -294,16 +294,17 @@
                     is_call || is_other_side && step.role == Role::Target
                 })
         };
-        // A call tells more than the other side of the same attempt.
-        let below = steps.iter().filter(is_below).max_by_key(|step| (step.depth, step.unix_ms));
+        // A nested call says more than the target side of the same attempt.
+        let below =
+            steps.iter().filter(is_caused_by_found).max_by_key(|step| (step.depth, step.unix_ms));
         let Some(below) = below else { return Some(found) };
         found = below;
     }
 }
 
-/// The lines of `node`, or about it, that were written around a step.
+/// Events of `node` and of the step's own node that were logged around the end of the step.
 fn context(step: &Step, node: &str, lines: &[Line]) -> Vec<Line> {
-    const ABOUT_NODES: [&str; 12] = [
+    const NODE_EVENTS: [&str; 12] = [
         "MeshStarted",
         "LeavingStarted",
         "LeavingFinished",
@@ -319,14 +320,14 @@
     ];
     let mut context = Vec::new();
     for line in lines {
-        let is_about = ABOUT_NODES.contains(&line.name.as_str());
-        if !is_about || !line.is_near(step.unix_ms, CONTEXT_MS) {
+        let is_node_event = NODE_EVENTS.contains(&line.name.as_str());
+        if !is_node_event || !line.is_within(step.unix_ms, CONTEXT_MS) {
             continue;
         }
-        let is_its_link = line.name != "LinkLost"
-            || super::step::name_of(line.text("peer"), &line.node, lines) == node;
-        let is_its_route = line.name != "AdmissionChanged" || line.text("root") == step.root;
-        if (line.node == node || line.node == step.node) && is_its_link && is_its_route {
+        let is_relevant_link = line.name != "LinkLost"
+            || super::step::node_name(line.text("peer"), &line.node, lines) == node;
+        let is_relevant_route = line.name != "AdmissionChanged" || line.text("root") == step.root;
+        if (line.node == node || line.node == step.node) && is_relevant_link && is_relevant_route {
             context.push(line.clone());
         }
     }
@@ -336,12 +337,12 @@
     context
 }
 
-/// What the failed step says.
-fn cause_of(step: &Step, had_it: &str, steps: &[Step], context: &[Line]) -> Cause {
-    let node = had_it.to_owned();
+/// The cause that the failed step states.
+fn cause_of_step(step: &Step, last_node: &str, steps: &[Step], context: &[Line]) -> Cause {
+    let node = last_node.to_owned();
     let service = service_of(step, steps);
     let reason = step.reason.clone();
-    let has_started = context.iter().any(|line| {
+    let has_just_started = context.iter().any(|line| {
         let is_start = line.name == "MeshStarted" || line.text("state") == "cold";
         line.node == node && is_start
     });
@@ -351,12 +352,12 @@
             service: step.line.text("limited_by").to_owned(),
             admitted_percent: step.line.number("admitted_percent"),
         },
-        "expired" if step.took_ms < AT_ONCE_MS && step.line.number("waiting") == 0 => {
+        "expired" if step.took_ms < NOT_QUEUED_MAX_MS && step.line.number("waiting") == 0 => {
             Cause::TimeUsedUp {
                 node,
                 service,
                 took_ms: steps.first().map_or(0, |first| first.took_ms),
-                has_just_started: has_started,
+                has_just_started,
             }
         }
         "expired" | "queue-full" => Cause::Busy {
@@ -366,7 +367,7 @@
             running: step.line.number("running"),
             waiting: step.line.number("waiting"),
             limit: step.line.number("limit"),
-            has_just_started: has_started,
+            has_just_started,
         },
         "no-target" | "leaving" | "target-unreachable" | "unsent" => {
             Cause::NoTarget { node: step.node.clone(), service, reason }
@@ -397,14 +398,14 @@
         },
         "link-lost" => {
             let lost = context.iter().find(|line| line.name == "LinkLost");
-            let has_ended = context.iter().any(|line| {
-                let is_end = line.name == "MeshStarted" || line.name.starts_with("Leaving");
-                line.node == node && is_end
+            let has_restarted = context.iter().any(|line| {
+                let is_restart = line.name == "MeshStarted" || line.name.starts_with("Leaving");
+                line.node == node && is_restart
             });
             Cause::LinkLost {
                 peer: node,
                 silent_ms: lost.map_or(0, |line| line.number("silent_ms")),
-                has_restarted: has_ended,
+                has_restarted,
             }
         }
         _ => {
@@ -414,11 +415,12 @@
     }
 }
 
-/// The service of a step; where its line does not tell, what the entry wrote about the same attempt.
+/// The service of a step, or the one that the entry node logged for the same attempt.
 fn service_of(step: &Step, steps: &[Step]) -> String {
     if !step.service.is_empty() {
         return step.service.clone();
     }
-    let is_its = |other: &&Step| other.attempt == step.attempt && !other.service.is_empty();
-    steps.iter().find(is_its).map(|other| other.service.clone()).unwrap_or_default()
+    let is_same_attempt =
+        |other: &&Step| other.attempt == step.attempt && !other.service.is_empty();
+    steps.iter().find(is_same_attempt).map(|other| other.service.clone()).unwrap_or_default()
 }
--- a/src/explain/mod.rs
+++ b/src/explain/mod.rs
@@ -1,8 +1,8 @@
-//! Explains one request afterwards, from the logs of the nodes alone.
+//! Explains the outcome of one request afterwards, from the logs of the nodes alone.
 //!
-//! The lines about a request and the calls made for it are put into the order of the calls, not of
-//! the clocks, since those of different VMs differ. The cause is what the deepest failed step says,
-//! with what its node wrote about itself around that moment.
+//! Log lines about a request and its nested calls are put into call order rather than time order,
+//! since the clocks of different VMs differ. The cause is taken from the deepest failed step and from
+//! the events that its node logged around that time.
 
 mod cause;
 mod line;
@@ -18,15 +18,15 @@
 /// What the logs say about one request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Explanation {
-    /// The id of the caller's attempt.
+    /// The id of the caller's request.
     pub id: String,
-    /// What happened to it, in the order of the calls.
+    /// What happened to the request, in call order.
     pub steps: Vec<Step>,
-    /// Why it ended as it did.
+    /// Why it ended the way it did.
     pub cause: Cause,
-    /// What nodes wrote about themselves around it, that bears on the cause.
+    /// Node events around that time that may have contributed to the cause.
     pub context: Vec<Line>,
-    /// Lines about requests that were left out around it, as the nodes counted them.
+    /// How many lines about requests the nodes suppressed, by their own counts.
     pub left_out: u64,
 }
 
@@ -37,11 +37,11 @@
     }
 }
 
-/// Explains the request `id`, or the request for which the call `id` was made.
+/// Explains the request `id`; for the id of a nested call, the request that the call belongs to.
 pub fn explain(id: &str, lines: &[Line]) -> Explanation {
     let root = id.split('.').next().unwrap_or(id);
     let steps = step::steps(root, lines);
-    let (cause, context) = cause::find(&steps, lines);
-    let left_out = line::left_out(lines);
+    let (cause, context) = cause::find_cause(&steps, lines);
+    let left_out = line::suppressed_request_lines(lines);
     Explanation { id: root.to_owned(), steps, cause, context, left_out }
 }
--- a/src/explain/page.rs
+++ b/src/explain/page.rs
@@ -1,4 +1,4 @@
-//! An explanation as text for people.
+//! Formats an explanation as text for people.
 
 use std::fmt::Write;
 
@@ -6,36 +6,41 @@
 use super::line::Line;
 use super::step::{Role, Step};
 
-/// Writes an explanation.
+/// Formats the steps, the cause and the node events around it, one per line.
 pub fn page(explanation: &Explanation) -> String {
     let mut page = format!("request {}\n", explanation.id);
     for step in &explanation.steps {
-        push(&mut page, &sentence(step));
+        push_line(&mut page, &step_line(step));
     }
-    push(&mut page, &format!("cause: {}", explanation.cause));
+    push_line(&mut page, &format!("cause: {}", explanation.cause));
     if !explanation.context.is_empty() {
-        push(&mut page, "around it, by each node's own clock:");
+        push_line(&mut page, "node events around that time, by each node's own clock:");
     }
     for line in &explanation.context {
-        push(&mut page, &format!("  {} {} {} {}", line.unix_ms, line.node, line.name, told(line)));
+        push_line(
+            &mut page,
+            &format!("  {} {} {} {}", line.unix_ms, line.node, line.name, field_list(line)),
+        );
     }
     if explanation.steps.is_empty() && explanation.left_out > 0 {
-        push(&mut page, &format!("{} lines about requests were left out", explanation.left_out));
+        push_line(
+            &mut page,
+            &format!("{} log lines about requests were suppressed", explanation.left_out),
+        );
     }
     page
 }
 
-/// One step in a line.
-fn sentence(step: &Step) -> String {
+fn step_line(step: &Step) -> String {
     let indent = "  ".repeat(step.depth * 2 + 1 + usize::from(step.role == Role::Target));
-    let part = step.attempt.rsplit('.').next().unwrap_or("");
+    let call_id = step.attempt.rsplit('.').next().unwrap_or("");
     let mut text = format!("{indent}{} ", step.node);
     text += match step.role {
-        Role::Entry => "took in",
-        Role::Target => "had",
+        Role::Entry => "received",
+        Role::Target => "handled",
     };
-    // Writing to a string has no way to fail.
-    let _ = write!(text, " {part}");
+    // Writing to a string cannot fail.
+    let _ = write!(text, " {call_id}");
     if !step.service.is_empty() {
         let _ = write!(text, " for {}", step.service);
     }
@@ -49,18 +54,18 @@
     let _ = write!(text, ", after {} ms", step.took_ms);
     if step.line.number("limit") > 0 {
         let load = ["running", "waiting", "limit"].map(|field| step.line.number(field));
-        let _ = write!(text, "; {} ran, {} waited, {} may run", load[0], load[1], load[2]);
+        let _ = write!(text, "; {} running, {} queued, limit {}", load[0], load[1], load[2]);
     }
     text
 }
 
-/// The fields of a line.
-fn told(line: &Line) -> String {
+/// The fields of a line as `name=value`.
+fn field_list(line: &Line) -> String {
     let fields = line.fields.iter().map(|(name, value)| format!("{name}={value}"));
     fields.collect::<Vec<_>>().join(" ")
 }
 
-fn push(page: &mut String, line: &str) {
+fn push_line(page: &mut String, line: &str) {
     page.push_str(line);
     page.push('\n');
 }
--- a/src/explain/step.rs
+++ b/src/explain/step.rs
@@ -6,52 +6,52 @@
 
 use super::line::{Line, node_at};
 
-/// What ended a request whose caller left before the answer.
+/// The reason of a request whose caller disconnected before the answer.
 pub const CALLER_LEFT: &str = "caller-left";
 
-/// Who writes about a request.
+/// The role in which a node logged a line about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// The node at which it arrived, which chose targets for it.
+    /// The node that received the request and chose targets for it.
     Entry,
-    /// The node beside a target that had it.
+    /// The node of a target that the request was sent to.
     Target,
 }
 
-/// What happened to a request, or to a call made for it, at one node.
+/// What happened to a request, or to one of its nested calls, at one node.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Step {
     /// The id of the attempt.
     pub attempt: String,
-    /// How many calls lie between it and the caller.
+    /// The number of calls between the attempt and the caller.
     pub depth: usize,
-    /// Who writes.
+    /// The role of the node.
     pub role: Role,
-    /// The node that writes.
+    /// The node that logged the step.
     pub node: String,
-    /// When it wrote, by its clock, in milliseconds since 1970.
+    /// When the line was logged, by the node's clock, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
     /// How long it took there, in milliseconds.
     pub took_ms: u64,
-    /// The route by which the caller's request began.
+    /// The route of the caller's request.
     pub root: String,
     /// The service that was to run it.
     pub service: String,
-    /// `answered`, `not_run`, `may_have_run`, or `withdrawn` where its caller had left.
+    /// `answered`, `not_run`, `may_have_run`, or `withdrawn` if the caller had disconnected.
     pub verdict: String,
-    /// What ended it.
+    /// Why it ended.
     pub reason: String,
-    /// The status that was given; 0 where the line tells none.
+    /// The status of the answer; 0 if the line has none.
     pub status: u64,
-    /// The nodes that it was offered to, by name where that is known.
+    /// The nodes that the attempt was offered to, by name if that is known, otherwise by address.
     pub offered: Vec<String>,
-    /// The whole line.
+    /// The whole log line.
     pub line: Line,
 }
 
 impl Step {
-    /// Whether it ended otherwise than with the target's answer that it worked.
+    /// Whether it ended in any other way than with a successful answer of the target.
     pub fn has_failed(&self) -> bool {
         self.verdict != "answered" || self.status >= 500 || self.reason != "answered"
     }
@@ -68,8 +68,8 @@
         };
         let attempt = line.text("attempt").to_owned();
         let mut offered = Vec::new();
-        for place in line.text("offered").split_whitespace() {
-            offered.push(name_of(place, &line.node, lines));
+        for peer in line.text("offered").split_whitespace() {
+            offered.push(node_name(peer, &line.node, lines));
         }
         Some(Self {
             depth: attempt.matches('.').count(),
@@ -89,47 +89,51 @@
     }
 }
 
-/// The name of a node that is told of by its address, or as `own`.
-pub(super) fn name_of(place: &str, own: &str, lines: &[Line]) -> String {
-    if place == "own" {
+/// The name of a node that a line of `own` refers to by its address or as `own`.
+pub(super) fn node_name(peer: &str, own: &str, lines: &[Line]) -> String {
+    if peer == "own" {
         return own.to_owned();
     }
-    let address = place.parse::<SocketAddr>().ok();
-    let named = address.and_then(|address| node_at(lines, address));
-    named.unwrap_or(place).to_owned()
+    let address = peer.parse::<SocketAddr>().ok();
+    let known_name = address.and_then(|address| node_at(lines, address));
+    known_name.unwrap_or(peer).to_owned()
 }
 
-/// All steps of the request `root`: each attempt before the calls made for it, the entry before the
-/// targets, targets in the order in which they were offered it.
+/// All steps of the request `root`: each attempt before its nested calls, the entry node before the
+/// targets, targets in the order in which the attempt was offered to them.
 pub fn steps(root: &str, lines: &[Line]) -> Vec<Step> {
-    let is_its = |attempt: &str| {
+    let belongs_to_root = |attempt: &str| {
         attempt.strip_prefix(root).is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
     };
     let mut steps = Vec::new();
     for line in lines {
-        if !is_its(line.text("attempt")) {
+        if !belongs_to_root(line.text("attempt")) {
             continue;
         }
         steps.extend(Step::read(line, lines));
     }
     let mut order = Vec::new();
     for step in &steps {
-        order.push((path(&step.attempt), step.role == Role::Target, place_of(step, &steps)));
+        order.push((
+            id_parts(&step.attempt),
+            step.role == Role::Target,
+            offer_position(step, &steps),
+        ));
     }
     let mut indices: Vec<usize> = (0..steps.len()).collect();
     indices.sort_by(|a, b| order[*a].cmp(&order[*b]));
     indices.into_iter().map(|index| steps[index].clone()).collect()
 }
 
-/// The parts of the id of an attempt.
-fn path(attempt: &str) -> Vec<String> {
+/// The parts of an attempt's id, one for each call from the caller downwards.
+fn id_parts(attempt: &str) -> Vec<String> {
     attempt.split('.').map(str::to_owned).collect()
 }
 
-/// The place of a step's node among those that the entry offered the attempt to.
-fn place_of(step: &Step, steps: &[Step]) -> usize {
+/// The position of a step's node among those that the entry node offered the attempt to.
+fn offer_position(step: &Step, steps: &[Step]) -> usize {
     let is_entry = |other: &&Step| other.role == Role::Entry && other.attempt == step.attempt;
     let entry = steps.iter().find(is_entry);
-    let place = entry.and_then(|entry| entry.offered.iter().position(|node| *node == step.node));
-    place.unwrap_or(usize::MAX)
+    let position = entry.and_then(|entry| entry.offered.iter().position(|node| *node == step.node));
+    position.unwrap_or(usize::MAX)
 }
--- a/tests/explain/main.rs
+++ b/tests/explain/main.rs
@@ -1,5 +1,5 @@
-//! Explanations of recorded requests: each case is the log of several nodes, and the page that
-//! `aspenspring explain` prints for the request that its first line names.
+//! Explanations of recorded requests. A case is the merged log of several nodes, whose first line
+//! names a request, and the text that `aspenspring explain` prints for that request.
 
 use std::path::Path;
 
