--- a/src/event.rs
+++ b/src/event.rs
@@ -1,6 +1,6 @@
-//! Numbered log events: the one enum, how they are written, and how a flood of them is cut.
+//! Numbered log events: the enum, how events are written, and the rate limit for repeated events.
 //!
-//! A number is never given to another event; `docs/EVENTS.md` lists all of them for operators.
+//! The number of an event is never reused; `docs/EVENTS.md` lists all events for operators.
 
 mod field;
 mod flood;
@@ -16,25 +16,25 @@
 pub use self::flood::{FloodGate, REQUESTS_PER_WINDOW};
 pub use self::log::EventLog;
 
-/// What the catalogue says about one kind of event.
+/// The catalogue entry of one kind of event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventKind {
     /// The stable number.
     pub number: u16,
     /// The name, as in the enum.
     pub name: &'static str,
-    /// How severe it is.
+    /// The severity.
     pub severity: Severity,
     /// The names of its fields, in order.
     pub fields: &'static [&'static str],
 }
 
-/// Declares the enum together with its numbers, severities and fields, so that they cannot differ.
+/// Declares the enum together with its numbers, severities and fields, which keeps them consistent.
 macro_rules! log_events {
     ($($(#[$doc:meta])* $number:literal $severity:ident $name:ident {
         $($(#[$field_doc:meta])* $field:ident: $kind:ty,)*
     })*) => {
-        /// Something an operator may want to know.
+        /// An event that an operator may want to know of.
         #[derive(Clone, Debug, PartialEq)]
         pub enum LogEvent {
             $($(#[$doc])* $name { $($(#[$field_doc])* $field: $kind,)* },)*
@@ -80,18 +80,18 @@
 log_events! {
     /// The process is up and its listeners are bound.
     100 Info NodeStarted {
-        /// This life of the node.
+        /// The id that the node drew at this start.
         node: NodeId,
-        /// The name that stays the same over restarts.
+        /// The node's name, which stays the same across restarts.
         node_name: String,
-        /// The service whose target stands beside the node.
+        /// The service of the node's target.
         service: String,
         /// The failure domain of the VM.
         failure_domain: String,
         /// The version of the program.
         version: &'static str,
     }
-    /// The node could not start, or gave up.
+    /// The node could not start, or stopped after an error.
     101 Critical NodeFailed {
         /// What went wrong.
         detail: String,
@@ -103,49 +103,49 @@
         /// Its address.
         address: SocketAddr,
     }
-    /// The node began to leave: it takes no new work.
+    /// The node began to drain: it accepts no new requests.
     110 Info LeavingStarted {
-        /// Who asked for it: `signal`, `operator` or `target`.
+        /// What started the drain: `signal`, `operator` or `target`.
         asked_by: &'static str,
-        /// Calls running or waiting at that moment.
+        /// Calls running or queued at that time.
         in_flight: u64,
     }
-    /// The node has left; the process ends.
+    /// The node has drained; the process exits.
     111 Info LeavingFinished {
-        /// How long it took, in milliseconds.
+        /// How long the drain took, in milliseconds.
         took_ms: u64,
-        /// Calls that were still running when the node stopped waiting.
+        /// Calls that were still running when the drain timed out.
         cut_off: u64,
     }
-    /// The thread of a duty panicked.
+    /// One of the node's worker threads panicked.
     120 Critical DutyPanicked {
-        /// The duty.
+        /// The thread.
         duty: &'static str,
-        /// What is done about it: `restart` or `exit`.
+        /// What the node does about it: `restart` or `exit`.
         consequence: &'static str,
     }
-    /// A ring between two threads was full, and an entry was refused.
+    /// A ring buffer between two threads was full, and an entry was rejected.
     121 Warning RingFull {
-        /// The ring.
+        /// The ring buffer.
         ring: &'static str,
-        /// How many entries it holds.
+        /// Its capacity in entries.
         entries: u64,
     }
-    /// Bodies held in memory reached their limit, and a call was refused.
+    /// The bodies held in memory reached their limit, and a call was refused.
     122 Warning MemoryFull {
-        /// Bytes of bodies held.
+        /// The total size of the bodies held, in bytes.
         held_bytes: u64,
         /// The limit, in bytes.
         limit_bytes: u64,
     }
-    /// A sender took too long for its request and was cut off.
+    /// A client took too long to send its request, and its connection was closed.
     123 Info SlowSenderCut {
         /// Which listener.
         listener: &'static str,
-        /// How many connections were cut at once.
+        /// How many connections were closed at once.
         connections: u64,
     }
-    /// The target beside the node announced itself.
+    /// The node's target announced itself.
     200 Info TargetAnnounced {
         /// Its URL.
         url: String,
@@ -156,21 +156,21 @@
         /// How many connections it accepts.
         connections: u32,
     }
-    /// The target has been silent for too long.
+    /// The target has sent nothing for too long.
     201 Error TargetGone {
         /// Its URL.
         url: String,
-        /// How long nothing was heard of it, in milliseconds.
+        /// How long nothing was received from it, in milliseconds.
         silent_ms: u64,
     }
-    /// The target refuses connections, or breaks them off.
+    /// The target refuses connections, or closes them during an exchange.
     202 Warning TargetUnreachable {
         /// Its URL.
         url: String,
         /// What went wrong.
         detail: String,
     }
-    /// A connection to another node is up.
+    /// A connection to another node was established.
     300 Debug PeerLinkUp {
         /// The other node.
         peer: NodeId,
@@ -183,12 +183,12 @@
         peer: NodeId,
         /// Its address.
         address: SocketAddr,
-        /// Attempts whose outcome has to be asked for.
+        /// Attempts whose outcome has to be queried.
         unsettled: u64,
-        /// What was noticed.
+        /// What was observed.
         detail: String,
     }
-    /// A node became known.
+    /// A node was discovered.
     310 Info MemberAdded {
         /// The node.
         member: NodeId,
@@ -196,10 +196,10 @@
         service: String,
         /// Its address for other nodes.
         address: SocketAddr,
-        /// Where it was learned from: `table`, `gossip` or `seed`.
+        /// How it was discovered: `table`, `gossip` or `seed`.
         learned_from: &'static str,
     }
-    /// A node is taken as gone.
+    /// A node is considered gone.
     311 Warning MemberGone {
         /// The node.
         member: NodeId,
@@ -208,76 +208,77 @@
         /// Why: `silent`, `left`, `replaced` or `expired`.
         reason: &'static str,
     }
-    /// The node was paused for longer than its peers wait, and takes no work until it is fresh.
+    /// The process was paused for longer than its peers' timeout; the node accepts no requests until
+    /// its state is up to date.
     312 Warning NodeWasPaused {
         /// How long, in milliseconds.
         paused_ms: u64,
     }
-    /// The platform's service stopped answering.
+    /// A store of the platform stopped answering.
     400 Error StoreAway {
         /// `table` or `objects`.
         store: &'static str,
         /// What went wrong.
         detail: String,
-        /// How long the question that failed had waited for its answer, in milliseconds.
+        /// How long the failed request had waited for its answer, in milliseconds.
         asked_ms: u64,
     }
-    /// The platform's service answers again.
+    /// A store of the platform answers again.
     401 Info StoreBack {
         /// `table` or `objects`.
         store: &'static str,
-        /// How long it was away, in milliseconds.
+        /// How long it was unavailable, in milliseconds.
         away_ms: u64,
     }
-    /// A write may or may not have taken effect, and is being settled by reading.
+    /// A write may or may not have taken effect; the row is read to find out.
     402 Warning StoreWriteUnknown {
         /// The row.
         row: String,
     }
-    /// Calls are being refused: the floor of an arm rose from zero.
+    /// Calls are being shed: the floor of an arm rose from zero.
     500 Warning OverloadEntered {
         /// The arm.
         arm: ArmId,
         /// Calls below this level are refused.
         floor: Level,
-        /// The lowest class of which some calls are still taken.
+        /// The lowest class of which some calls are still admitted.
         class: ClassRank,
-        /// Calls waiting.
+        /// Calls in the queue.
         queued: u32,
-        /// How many calls may run at once.
+        /// Maximum number of calls running at once.
         limit: u32,
     }
-    /// No call is refused any more: the floor of an arm is back at zero.
+    /// Calls are no longer shed: the floor of an arm is back at zero.
     501 Info OverloadLeft {
         /// The arm.
         arm: ArmId,
-        /// How long calls were refused, in milliseconds.
+        /// How long calls were shed, in milliseconds.
         lasted_ms: u64,
-        /// Calls refused in that time.
+        /// Calls shed in that time.
         refused: u64,
     }
-    /// A call was not tried again because the allowance of its root is used up.
+    /// A call was not retried because the retry allowance of its root request is used up.
     600 Info RetryRefusedByAllowance {
-        /// The root.
+        /// The root request.
         root: RootId,
         /// The arm.
         arm: ArmId,
     }
-    /// A call was not tried again because the node's own budget is used up.
+    /// A call was not retried because the node's own retry budget is used up.
     601 Warning RetryRefusedByBudget {
         /// The service that was called.
         service: String,
         /// The arm.
         arm: ArmId,
     }
-    /// A call was not tried again because the entry node did not answer.
+    /// A call was not retried because the entry node did not answer.
     602 Warning RetryRefusedByEntryAway {
-        /// The root.
+        /// The root request.
         root: RootId,
         /// The entry node.
         entry: NodeId,
     }
-    /// It is known what became of an attempt whose connection was lost.
+    /// The outcome of an attempt whose connection was lost is known.
     610 Info FenceSettled {
         /// The attempt.
         attempt: AttemptId,
@@ -286,30 +287,30 @@
         /// How long it took, in milliseconds.
         took_ms: u64,
     }
-    /// It could not be found out whether an attempt ran; its caller was told so.
+    /// Whether an attempt ran could not be determined; its caller was told that it may have run.
     611 Error FenceUnsettled {
         /// The attempt.
         attempt: AttemptId,
-        /// The node that could not be asked.
+        /// The node that could not be queried.
         peer: NodeId,
     }
-    /// An idempotency key was handed to another node for ever.
+    /// An idempotency key was permanently handed to another node.
     620 Info KeyDelegated {
         /// The key.
         key: Key,
         /// The node that may run it now.
         to: NodeId,
     }
-    /// A caller's own idempotency key could not be claimed because the table service is away.
+    /// A caller-supplied idempotency key could not be claimed because the table service is unavailable.
     621 Error KeyUnclaimed {
         /// The service that was called.
         service: String,
     }
-    /// A configuration is in force.
+    /// A configuration took effect.
     700 Info ConfigInForce {
         /// Its version.
         config_version: u64,
-        /// Where it was learned from: `start`, `table`, `gossip` or `operator`.
+        /// Its source: `start`, `table`, `gossip` or `operator`.
         learned_from: &'static str,
     }
     /// An operator's configuration was accepted.
@@ -317,28 +318,28 @@
         /// Its version.
         config_version: u64,
     }
-    /// An operator's configuration lost to another one, or was refused as it stood.
+    /// An operator's configuration conflicted with a concurrent one, or was invalid.
     702 Warning ConfigRefused {
         /// The version it was meant to replace.
         expected_version: u64,
         /// `conflict` or `invalid`.
         reason: &'static str,
-        /// How many problems it had.
+        /// How many problems validation found.
         problems: u64,
     }
-    /// An older configuration arrived and was not taken.
+    /// A configuration older than the one in force was received and ignored.
     703 Warning ConfigOlderIgnored {
         /// The version in force.
         config_version: u64,
-        /// The version that arrived.
+        /// The version that was received.
         older_version: u64,
     }
-    /// Somebody without the operators' key asked for something.
+    /// A request to the operator interface did not carry the operators' key.
     800 Warning OperatorRefused {
         /// Where the request came from.
         remote: String,
     }
-    /// The environment variable of the operators' key is not set; everything is refused.
+    /// The environment variable of the operators' key is not set; all operator requests are refused.
     801 Warning OperatorKeyUnset {
         /// The name of the variable.
         variable: String,
@@ -347,79 +348,81 @@
     900 Warning CollectorAway {
         /// What went wrong.
         detail: String,
-        /// Spans dropped by this.
+        /// Spans dropped with the failed batch.
         spans: u64,
     }
-    /// The collector takes spans again.
+    /// The collector accepts spans again.
     901 Info CollectorBack {
-        /// Spans dropped since it was away.
+        /// Spans dropped while it was unavailable.
         dropped_spans: u64,
     }
-    /// A node of the mesh has started.
+    /// A mesh node started.
     1000 Info MeshStarted {
         /// The name of its VM.
         node_name: String,
         /// The failure domain of the VM.
         failure_domain: String,
-        /// The service of the target beside it, as the settings say.
+        /// The service of its target, from the settings.
         service: String,
         /// The version of the program.
         version: &'static str,
-        /// Where other nodes reach it.
+        /// The address for other nodes.
         address: SocketAddr,
     }
     /// The settings file was read again.
     1001 Info SettingsReread {
         /// `unchanged`, `from_next_start` or `refused`.
         outcome: &'static str,
-        /// What is wrong with them; empty where nothing is.
+    /// The errors in the settings; empty if there are none.
         detail: String,
     }
-    /// Something that another process sent could not be used.
+    /// Invalid input from another process was rejected.
     1002 Warning InputRefused {
-        /// What it was: `heartbeat`, `configuration` or `connection`.
+        /// The kind of input: `heartbeat`, `configuration` or `connection`.
         input: &'static str,
         /// What is wrong with it.
         detail: String,
     }
-    /// What is believed of the target beside the node has changed.
+    /// The state of the node's target has changed, as far as the node knows.
     1010 Info TargetChanged {
-        /// The incarnation that takes work; empty where there is none.
+        /// The incarnation that accepts requests; empty if there is none.
         instance: String,
         /// Its service.
         service: String,
         /// `ready`, `cold` or `none`.
         state: &'static str,
-        /// What was learnt: `heartbeat`, `farewell`, `refused_connection` or `other_incarnation`.
+        /// What the node learned it from: `heartbeat`, `farewell`, `refused_connection` or
+        /// `other_incarnation`.
         learned_from: &'static str,
-        /// How many requests it may run at once.
+        /// Maximum number of requests running at once.
         limit: u32,
     }
-    /// The target beside the node has ended with requests running.
+    /// The node's target crashed while requests were running.
     1011 Warning TargetCrashed {
         /// The incarnation.
         instance: String,
         /// Its service.
         service: String,
-        /// How many different requests it was running.
+        /// How many distinct requests it was running.
         running: u32,
-        /// How many requests run by themselves now, as two targets or more have ended with them.
+        /// How many requests are suspects: two or more targets crashed while running them, so each
+        /// runs with no other suspect on the same target.
         suspects: u32,
     }
-    /// A request is held back, as the targets that began to run it have ended.
+    /// A request is quarantined, because targets crashed while running it.
     1012 Error RequestHeld {
-        /// What all attempts at the request have in common.
+        /// The fingerprint that all attempts of the request share.
         fingerprint: String,
-        /// Its path without the query, where this node has had it; otherwise empty.
+        /// Its path without the query; empty if this node has not received the request.
         path: String,
-        /// For how long it is held back, in seconds.
+        /// The length of the quarantine, in seconds.
         hold_s: u64,
-        /// `crash` (of the target beside this node), `peer` or `table`.
+        /// `crash` (of this node's target), `peer` or `table`.
         learned_from: &'static str,
     }
-    /// A request that was held back succeeded when it was tried again, and runs like any other.
+    /// A quarantined request succeeded when it was tried again, and is no longer restricted.
     1013 Info RequestReleased {
-        /// What all attempts at the request have in common.
+        /// The fingerprint that all attempts of the request share.
         fingerprint: String,
     }
     /// Another node can be called.
@@ -435,126 +438,130 @@
     1021 Warning LinkLost {
         /// Its address.
         peer: SocketAddr,
-        /// Calls that waited for its answer; they may have run.
+        /// Calls that were waiting for its answer; they may have run.
         waiting: u32,
-        /// How long nothing had been heard of it, in milliseconds.
+        /// How long nothing had been received from it, in milliseconds.
         silent_ms: u64,
-        /// What was noticed.
+        /// What was observed.
         detail: String,
     }
-    /// What the node does about the configuration in the store has changed.
+    /// The node's role in reading configurations from the store has changed.
     1022 Info FollowerChanged {
-        /// `follows`, `substitutes` (for others that do not reach the store) or `hears`.
+        /// `follows` the store, `substitutes` for others that do not reach the store, or `hears`
+        /// configurations from peers.
         role: &'static str,
-        /// Whether no node of its failure domain that reaches the store comes before it.
+        /// Whether no node that precedes it in its failure domain reaches the store.
         is_first: bool,
     }
-    /// Requests of a route began to be refused for want of room further down, or no longer are.
+    /// Requests of a route began to be shed because a downstream service is overloaded, or no longer
+    /// are.
     1030 Info AdmissionChanged {
         /// The route.
         root: String,
-        /// Its service that has the least room; empty where all have some.
+        /// The service with the least free capacity; empty if all services have some.
         limited_by: String,
-        /// The probability of admission, in hundredths.
+        /// The probability of admission, in percent.
         admitted_percent: u32,
-        /// Requests that ran on all targets of that service together.
+        /// Requests running on all targets of that service.
         running: u32,
-        /// Requests that waited for them.
+        /// Requests queued for them.
         waiting: u32,
-        /// How many they may run at once.
+        /// Maximum number of requests running on them at once.
         limit: u32,
     }
-    /// A request got its final answer: one that was refused, failed, repeated or late, or one of the
-    /// few others that are written as a sample.
+    /// A request received its final answer. Logged if the request was refused, failed, retried or
+    /// late, and for a small sample of the others.
     1040 Info RequestEnded {
         /// The id of the caller's attempt.
         attempt: String,
-        /// The route by which a caller's request began it all.
+        /// The route of the outside caller's request.
         root: String,
-        /// The service that was chosen; empty where none was.
+        /// The chosen service; empty if none was.
         service: String,
         /// `answered`, `not_run` or `may_have_run`.
         verdict: &'static str,
-        /// Why, where it was not answered: the reason's name.
+        /// The name of the reason, if it was not answered.
         reason: &'static str,
-        /// The status that the caller got.
+        /// The status that the caller received.
         status: u32,
         /// The nodes it was offered to, in order; `own` is this one.
         offered: String,
-        /// How often it reached a target.
+        /// How many times it reached a target.
         arrivals: u32,
-        /// How long before its end the node that had it last was heard of, in milliseconds.
+        /// Time between the last sign of life from the node that handled it last and the end of the
+        /// request, in milliseconds.
         heard_ms: u64,
-        /// The probability of admission of its route at its end, in hundredths.
+        /// The probability of admission of its route at its end, in percent.
         admitted_percent: u32,
-        /// The service further down with the least room, where requests of its route are refused for
-        /// it.
+        /// The downstream service with the least free capacity, if requests of its route are shed
+        /// because of it.
         limited_by: String,
-        /// The team whose key let it in; empty where no key did.
+        /// The team whose API key admitted it; empty if no key did.
         team: String,
-        /// What was known of the team's quota, where the request was beyond it.
+        /// What was known of the team's quota, if the request exceeded it.
         quota: String,
-        /// How many repeats the node might still have sent to the service, in hundredths.
+        /// How many retries the node could still have sent to the service, in hundredths.
         repeats_percent: u32,
-        /// The version of the configuration by which it was routed.
+        /// The configuration version by which it was routed.
         config_version: u64,
-        /// Where the request is held back: what all attempts at it have in common; otherwise empty.
+        /// If the request is quarantined, the fingerprint that all its attempts share; otherwise empty.
         fingerprint: String,
         /// How long it took, in milliseconds.
         took_ms: u64,
     }
-    /// A call of another node was refused, or its target failed it.
+    /// A call from another node was refused, or the target failed it.
     1041 Info CallEnded {
         /// The id of the caller's attempt.
         attempt: String,
-        /// The route by which a caller's request began it all.
+        /// The route of the outside caller's request.
         root: String,
-        /// The service that was asked for.
+        /// The requested service.
         service: String,
-        /// The incarnation of the target at its end; empty where there was none.
+        /// The incarnation of the target at its end; empty if there was none.
         instance: String,
         /// `answered`, `not_run` or `may_have_run`.
         verdict: &'static str,
-        /// Why, where it was not answered: the reason's name.
+        /// The name of the reason, if it was not answered.
         reason: &'static str,
-        /// The status of the target's answer; 0 where there is none.
+        /// The status of the target's answer; 0 if there is none.
         status: u32,
-        /// What was noticed where the target broke off, or could not be reached; otherwise empty.
+        /// What was observed if the target broke the exchange off or could not be reached; otherwise
+        /// empty.
         detail: String,
-        /// Where the target broke off: the fingerprint of the request, which all its attempts share.
+        /// If the target broke the exchange off, the fingerprint that all attempts of the request share.
         fingerprint: String,
-        /// How long it waited and ran, in milliseconds.
+        /// Time in the queue and on the target, in milliseconds.
         took_ms: u64,
-        /// Requests that the target was running at its end.
+        /// Requests running on the target at its end.
         running: u32,
-        /// Requests that waited for the target at its end.
+        /// Requests queued for the target at its end.
         waiting: u32,
-        /// How many the target may run at once.
+        /// Maximum number of requests running on the target at once.
         limit: u32,
     }
-    /// The caller of a request left before it had the answer.
+    /// The caller of a request disconnected before it received the answer.
     1042 Info CallerLeft {
         /// The id of the caller's attempt.
         attempt: String,
-        /// The route by which a caller's request began it all.
+        /// The route of the outside caller's request.
         root: String,
-        /// When that was noticed: `reading` (the request was read only then), `waiting` (the request ended with
-        /// it) or `answered` (the answer was there already).
+        /// When the caller had left: `reading` (by the time the request was read), `waiting` (which
+        /// ended the request) or `answered` (the answer was already there).
         noticed: &'static str,
-        /// Whether the request was carried through to its answer.
+        /// Whether the request was completed.
         answered: bool,
-        /// How long after its head was read, in milliseconds.
+        /// Time from reading the request's head to the notice, in milliseconds.
         took_ms: u64,
     }
 }
 
 impl LogEvent {
-    /// The entry of the catalogue.
+    /// The catalogue entry of the event.
     pub fn kind(&self) -> &'static EventKind {
         &EVENT_KINDS[self.index()]
     }
 
-    /// The place in the catalogue.
+    /// The index in the catalogue.
     pub(crate) fn index(&self) -> usize {
         let number = self.number();
         EVENT_KINDS.iter().position(|kind| kind.number == number).unwrap_or(0)
--- a/src/event/field.rs
+++ b/src/event/field.rs
@@ -1,12 +1,12 @@
-//! How the fields of events are written.
+//! Converts the fields of events into log values.
 
 use std::net::SocketAddr;
 
 use crate::call::{ArmId, AttemptId, ClassRank, Key, Level, NodeId, RootId};
 
-/// How a field appears in a log line: numbers as numbers, everything else as text.
+/// The form of a field in a log line: numbers and booleans as such, everything else as text.
 pub trait ToLog {
-    /// What `slog` is given.
+    /// The type that is passed to `slog`.
     type Logged: slog::Value;
 
     /// Converts the field.
--- a/src/event/flood.rs
+++ b/src/event/flood.rs
@@ -1,36 +1,36 @@
-//! Cuts floods of events that a fault repeats.
+//! Rate limit for log events, for faults that repeat the same event.
 
 use std::sync::Mutex;
 
 use super::{EVENT_KINDS, LogEvent};
 use crate::clock::US_PER_S;
 
-/// Length of the window in which repetitions are counted, in microseconds.
+/// Length of the window in which events are counted, in microseconds.
 const WINDOW_US: u64 = 10 * US_PER_S;
-/// How often an event of one request is written in a window: more than others, as the trail of a
-/// request is what explains its failure.
+/// Default limit per window for each event about a single request. Higher than for other events, as
+/// these lines are needed to explain why a request failed.
 pub const REQUESTS_PER_WINDOW: u32 = 200;
-/// The numbers of events of one request.
-const REQUEST_NUMBERS: std::ops::Range<u16> = 1_040..1_050;
-/// How often one kind of event is written in a window.
-const WRITTEN_PER_WINDOW: u32 = 20;
+/// The numbers of the events about a single request.
+const REQUEST_EVENT_NUMBERS: std::ops::Range<u16> = 1_040..1_050;
+/// Limit per window for each other kind of event.
+const EVENTS_PER_WINDOW: u32 = 20;
 
-/// Cuts floods: each kind of event is written a few times in a window, the rest is counted.
+/// Writes each kind of event up to a limit per window, and counts the events beyond it.
 #[derive(Debug)]
 pub struct FloodGate {
-    /// How often an event of one request is written in a window.
-    requests_max: u32,
+    /// Limit per window for each event about a single request.
+    request_events_max: u32,
     windows: Vec<Mutex<Window>>,
 }
 
-/// What happened to one kind of event in the present window.
+/// The current window of one kind of event.
 #[derive(Clone, Copy, Debug, Default)]
 struct Window {
     /// When the window began, in microseconds.
     start_us: u64,
-    /// How many were written in it.
+    /// How many events were written in it.
     written: u32,
-    /// How many were not written since the last one that was.
+    /// How many events were suppressed since the last one that was written.
     suppressed: u64,
 }
 
@@ -41,14 +41,15 @@
 }
 
 impl FloodGate {
-    /// A gate that writes `requests_max` events of one request in a window.
-    pub fn new(requests_max: u32) -> Self {
+    /// A gate that writes each event about a single request up to `request_events_max` times per
+    /// window.
+    pub fn new(request_events_max: u32) -> Self {
         let windows = EVENT_KINDS.iter().map(|_| Mutex::default()).collect();
-        Self { requests_max, windows }
+        Self { request_events_max, windows }
     }
 
-    /// Whether the event is to be written: the number of events of its kind that were left out
-    /// since the last one, or none where this one is left out too.
+    /// Decides whether the event is written: the number of events of its kind that were suppressed
+    /// since the last one written, or `None` if this one is suppressed too.
     pub fn admit(&self, event: &LogEvent, now_us: u64) -> Option<u64> {
         let mut window =
             self.windows[event.index()].lock().unwrap_or_else(|poisoned| poisoned.into_inner());
@@ -56,9 +57,9 @@
             window.start_us = now_us;
             window.written = 0;
         }
-        let is_of_request = REQUEST_NUMBERS.contains(&event.number());
-        let most = if is_of_request { self.requests_max } else { WRITTEN_PER_WINDOW };
-        if window.written >= most {
+        let is_request_event = REQUEST_EVENT_NUMBERS.contains(&event.number());
+        let events_max = if is_request_event { self.request_events_max } else { EVENTS_PER_WINDOW };
+        if window.written >= events_max {
             window.suppressed += 1;
             return None;
         }
--- a/src/event/log.rs
+++ b/src/event/log.rs
@@ -1,4 +1,4 @@
-//! Hands events to the logger.
+//! Writes events to the logger, within their rate limit.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,7 +8,7 @@
 use super::{FloodGate, LogEvent};
 use crate::clock::Clock;
 
-/// Where duties hand in their events. Cheap to clone; never blocks.
+/// Handle for emitting events. Cheap to clone; never blocks.
 #[derive(Clone, Debug)]
 pub struct EventLog {
     shared: Arc<Shared>,
@@ -28,7 +28,7 @@
         Self::with_gate(logger, clock, FloodGate::default())
     }
 
-    /// Writes through `logger` what `gate` lets pass.
+    /// Writes the events that `gate` admits through `logger`.
     pub fn with_gate(logger: Logger, clock: Clock, gate: FloodGate) -> Self {
         let suppressed = AtomicU64::new(0);
         Self { shared: Arc::new(Shared { logger, clock, gate, suppressed }) }
@@ -39,7 +39,7 @@
         Self::new(Logger::root(slog::Discard, slog::o!()), Clock::start())
     }
 
-    /// Writes the event, or counts it where its kind is flooding.
+    /// Writes the event, or counts it if its kind exceeds the rate limit.
     pub fn emit(&self, event: &LogEvent) {
         const LOCATION: RecordLocation =
             RecordLocation { file: file!(), line: 0, column: 0, function: "", module: "" };
@@ -52,12 +52,12 @@
             return;
         };
         let fields = EventFields { event, suppressed };
-        let about = RecordStatic { location: &LOCATION, tag: "", level: kind.severity };
+        let metadata = RecordStatic { location: &LOCATION, tag: "", level: kind.severity };
         let name = format_args!("{}", kind.name);
-        self.shared.logger.log(&Record::new(&about, &name, BorrowedKV(&fields)));
+        self.shared.logger.log(&Record::new(&metadata, &name, BorrowedKV(&fields)));
     }
 
-    /// How many events were left out since the start because their kind was flooding.
+    /// How many events the rate limit has suppressed since the start.
     pub fn suppressed_total(&self) -> u64 {
         self.shared.suppressed.load(Ordering::Relaxed)
     }
--- a/tests/telemetry_events.rs
+++ b/tests/telemetry_events.rs
@@ -1,4 +1,4 @@
-//! Numbered events: the catalogue in the docs, the lines that are written, floods.
+//! Tests of the numbered log events: the catalogue in the docs, the log lines, the rate limit.
 
 use std::io::Write;
 use std::sync::{Arc, Condvar, Mutex};
@@ -9,17 +9,17 @@
 use aspenspring::event::{EVENT_KINDS, EventLog, FloodGate, LogEvent};
 use aspenspring::logging::{LINES_WAITING_MAX, Logging, LoggingError, severity_name};
 
-/// Collects what is written; while it is shut, writing waits.
+/// Collects the bytes that are written. While it is blocked, writes wait.
 #[derive(Clone, Default)]
 struct Output {
     written: Arc<Mutex<Vec<u8>>>,
-    shut: Arc<(Mutex<bool>, Condvar)>,
+    blocked: Arc<(Mutex<bool>, Condvar)>,
 }
 
 impl Write for Output {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        let (shut, opened) = &*self.shut;
-        drop(opened.wait_while(shut.lock().unwrap(), |shut| *shut).unwrap());
+        let (blocked, unblocked) = &*self.blocked;
+        drop(unblocked.wait_while(blocked.lock().unwrap(), |blocked| *blocked).unwrap());
         self.written.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
     }
@@ -30,9 +30,9 @@
 }
 
 impl Output {
-    fn set_shut(&self, shut: bool) {
-        *self.shut.0.lock().unwrap() = shut;
-        self.shut.1.notify_all();
+    fn set_blocked(&self, blocked: bool) {
+        *self.blocked.0.lock().unwrap() = blocked;
+        self.blocked.1.notify_all();
     }
 
     fn lines(&self) -> Vec<serde_json::Value> {
@@ -41,7 +41,7 @@
     }
 }
 
-/// One row of the table in the docs.
+/// One row of the event table in the docs.
 #[derive(Debug, PartialEq)]
 struct Row {
     number: u16,
@@ -111,7 +111,7 @@
     let logging = Logging::start(&TelemetrySettings::default(), output.clone()).unwrap();
     let events = EventLog::new(logging.logger.clone(), Clock::start());
     events.emit(&overload());
-    // Less severe than the settings ask for.
+    // Below the log level of the settings.
     let address = "127.0.0.1:1".parse().unwrap();
     events.emit(&LogEvent::PeerLinkUp { peer: aspenspring::call::NodeId(1), address });
     drop(events);
@@ -133,11 +133,11 @@
 fn floods_are_cut_per_kind_and_counted() {
     let gate = FloodGate::default();
     let repeated = overload();
-    let mut written = 0;
+    let mut admitted = 0;
     for now_us in 0..100 {
-        written += u32::from(gate.admit(&repeated, now_us).is_some());
+        admitted += u32::from(gate.admit(&repeated, now_us).is_some());
     }
-    assert_eq!(written, 20);
+    assert_eq!(admitted, 20);
     let other = LogEvent::LeavingFinished { took_ms: 1, cut_off: 0 };
     assert_eq!(gate.admit(&other, 100), Some(0));
     assert_eq!(gate.admit(&repeated, 10 * US_PER_S), Some(80));
@@ -148,14 +148,14 @@
 fn a_stuck_writer_blocks_nobody_and_drops_are_counted() {
     let output = Output::default();
     let logging = Logging::start(&TelemetrySettings::default(), output.clone()).unwrap();
-    output.set_shut(true);
+    output.set_blocked(true);
     let logged = 2 * LINES_WAITING_MAX;
     for _ in 0..logged {
         slog::info!(logging.logger, "line");
     }
     let dropped = logging.dropped_total();
     assert!(dropped > 0);
-    output.set_shut(false);
+    output.set_blocked(false);
     drop(logging);
     assert_eq!(output.lines().len() as u64 + dropped, logged as u64);
 }
