--- a/examples/telemetry_cost.rs
+++ b/examples/telemetry_cost.rs
@@ -1,4 +1,4 @@
-//! Measures what a count, a span and a left-out event cost, and the watch on connections.
+//! Measures the cost of metrics, spans, suppressed events and of watching idle connections.
 //!
 //! `cargo run --release --example telemetry_cost`
 
@@ -16,38 +16,38 @@
 use aspenspring::telemetry::metrics::{CallSource, LabelNames, Metrics, Outcome, names};
 use aspenspring::telemetry::trace::{SpanKind, SpanRecord, TraceDuty, TraceOptions};
 
-const ROUNDS: u32 = 1_000_000;
+const ITERATIONS: u32 = 1_000_000;
 const CONNECTIONS: usize = 450;
-const WATCHED_FOR: Duration = Duration::from_secs(10);
+const IDLE_PERIOD: Duration = Duration::from_secs(10);
 
-fn measure(what: &str, rounds: u32, mut run: impl FnMut(u32)) {
-    let begun = Instant::now();
-    for round in 0..rounds {
-        run(round);
+fn measure(what: &str, iterations: u32, mut run: impl FnMut(u32)) {
+    let started = Instant::now();
+    for iteration in 0..iterations {
+        run(iteration);
     }
-    println!("{what}: {} ns", begun.elapsed().as_nanos() / u128::from(rounds));
+    println!("{what}: {} ns", started.elapsed().as_nanos() / u128::from(iterations));
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let metrics = Metrics::new()?;
     let counter = metrics.counter(names::SPANS_EXPORTED_TOTAL);
-    measure("increment of a kept counter", ROUNDS, |_| counter.increment(1));
+    measure("increment of a cached counter", ITERATIONS, |_| counter.increment(1));
     let mut calls = metrics.calls(LabelNames::default());
     let (class, arm) = (ClassRank(1), ArmId(1));
     let outcome = Outcome { verdict: "answered", reason: "2xx" };
-    measure("whole call (count and duration)", ROUNDS, |round| {
-        calls.call_ended(CallSource::Caller, class, arm, outcome, u64::from(round));
+    measure("whole call (count and duration)", ITERATIONS, |iteration| {
+        calls.call_ended(CallSource::Caller, class, arm, outcome, u64::from(iteration));
     });
-    measure("attempt by service", ROUNDS, |_| {
+    measure("attempt by service", ITERATIONS, |_| {
         calls.attempt_ended(black_box("souq-stock"), arm, outcome);
     });
-    let begun = Instant::now();
+    let started = Instant::now();
     metrics.run_upkeep();
-    println!("upkeep after {ROUNDS} durations: {} ms", begun.elapsed().as_millis());
+    println!("upkeep after {ITERATIONS} durations: {} ms", started.elapsed().as_millis());
     let logging = Logging::start(&TelemetrySettings::default(), std::io::sink())?;
     let events = EventLog::new(logging.logger.clone(), Clock::start());
     let event = LogEvent::RetryRefusedByEntryAway { root: RootId(1), entry: NodeId(1) };
-    measure("event left out by the flood gate", ROUNDS, |_| events.emit(black_box(&event)));
+    measure("event suppressed by the rate limit", ITERATIONS, |_| events.emit(black_box(&event)));
     let options = TraceOptions::builder()
         .otlp_url("http://127.0.0.1:9")
         .service("stock")
@@ -56,16 +56,18 @@
         .build();
     let duty = TraceDuty::start(&options, &metrics, EventLog::discard())?;
     let sink = duty.sink();
-    measure("span made and pushed, collector away", 8_000, |round| sink.push(span(round)));
-    measure("span dropped at a full ring", ROUNDS / 10, |round| sink.push(span(round)));
+    measure("span created and pushed, collector unavailable", 8_000, |iteration| {
+        sink.push(span(iteration))
+    });
+    measure("span dropped at a full ring", ITERATIONS / 10, |iteration| sink.push(span(iteration)));
     duty.stop();
-    watch_connections()
+    measure_connection_watch()
 }
 
-fn span(round: u32) -> SpanRecord {
+fn span(iteration: u32) -> SpanRecord {
     SpanRecord::builder()
         .trace_id(7)
-        .span_id(u64::from(round) + 1)
+        .span_id(u64::from(iteration) + 1)
         .name("GET stock")
         .kind(SpanKind::Server)
         .start_unix_us(1)
@@ -74,8 +76,9 @@
         .build()
 }
 
-/// Opens connections that have served a request, and shows the processor time of waiting.
-fn watch_connections() -> Result<(), Box<dyn std::error::Error>> {
+/// Measures the CPU time of an idle server, without connections and with connections that have
+/// served a request.
+fn measure_connection_watch() -> Result<(), Box<dyn std::error::Error>> {
     let options = WebOptions::builder()
         .name("web")
         .address(SocketAddr::from(([127, 0, 0, 1], 0)))
@@ -83,7 +86,7 @@
         .read_timeout_ms(5_000)
         .build();
     let server = WebServer::start(&options, |rocket| rocket)?;
-    let without_ms = cpu_ms_of_waiting();
+    let without_ms = cpu_ms_of_idle_period();
     let mut streams = Vec::new();
     for _ in 0..CONNECTIONS {
         let mut stream = TcpStream::connect(server.address())?;
@@ -91,10 +94,10 @@
         let _ = stream.read(&mut [0; 1_024])?;
         streams.push(stream);
     }
-    let with_ms = cpu_ms_of_waiting();
+    let with_ms = cpu_ms_of_idle_period();
     println!(
-        "watch, one look a second: {without_ms} ms of processor time in {WATCHED_FOR:?} with no \
-         connection, {with_ms} ms with {} (and their other ends in the same process)",
+        "connection watch, one check per second: {without_ms} ms of CPU time in {IDLE_PERIOD:?} \
+         without connections, {with_ms} ms with {} (client ends in the same process)",
         streams.len()
     );
     drop(streams);
@@ -102,9 +105,9 @@
     Ok(())
 }
 
-fn cpu_ms_of_waiting() -> u128 {
+fn cpu_ms_of_idle_period() -> u128 {
     let before = cpu_used();
-    std::thread::sleep(WATCHED_FOR);
+    std::thread::sleep(IDLE_PERIOD);
     (cpu_used() - before).as_millis()
 }
 
@@ -115,8 +118,8 @@
         libc::getrusage(libc::RUSAGE_SELF, &raw mut usage);
         usage
     };
-    let of = |time: libc::timeval| {
+    let to_duration = |time: libc::timeval| {
         Duration::from_secs(time.tv_sec as u64) + Duration::from_micros(time.tv_usec as u64)
     };
-    of(usage.ru_utime) + of(usage.ru_stime)
+    to_duration(usage.ru_utime) + to_duration(usage.ru_stime)
 }
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -1,8 +1,8 @@
-//! Metrics: names and units, cached handles, and the text that is scraped.
+//! Prometheus metrics: names and units, cached handles, and the text that is scraped.
 //!
-//! Each node has a recorder of its own; nothing is installed for the whole process, so several
-//! nodes can live in one test. Series are registered at their first use and their handles kept, so
-//! that an increment on the way of a call costs one look-up and one atomic operation.
+//! Each node has its own recorder rather than a process-wide one, so that a test can run several
+//! nodes. Series are registered on first use and their handles cached, so that an increment on the
+//! call path costs one look-up and one atomic operation.
 
 mod calls;
 pub mod names;
@@ -19,14 +19,15 @@
 
 pub use self::calls::{ArmLoad, CallMetrics, CallSource, LabelNames, Outcome, RetryOutcome};
 
-/// Upper bounds of the buckets of all histograms, in seconds: fine around the goal of 1.8 ms.
+/// Upper bounds of the buckets of all histograms, in seconds. They are fine around the latency
+/// objective of 1.8 ms.
 const BUCKETS_S: &[f64] = &[
     0.000_1, 0.000_2, 0.000_4, 0.000_6, 0.000_8, 0.001, 0.001_4, 0.001_8, 0.002_5, 0.005, 0.01,
     0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0,
 ];
 
-/// A value that is read when the metrics are scraped, such as the fill of a ring.
-type Watch = Box<dyn Fn() + Send + Sync>;
+/// Updates a value when the metrics are scraped, such as the length of a ring buffer.
+type ScrapeHook = Box<dyn Fn() + Send + Sync>;
 
 /// The metrics of one node. Cheap to clone.
 #[derive(Clone)]
@@ -37,7 +38,7 @@
 struct Shared {
     recorder: PrometheusRecorder,
     handle: PrometheusHandle,
-    watches: Mutex<Vec<Watch>>,
+    scrape_hooks: Mutex<Vec<ScrapeHook>>,
 }
 
 impl fmt::Debug for Metrics {
@@ -47,11 +48,11 @@
 }
 
 impl Metrics {
-    /// A recorder with nothing in it.
+    /// A recorder without series.
     ///
     /// # Errors
     ///
-    /// An empty list of buckets, which is a mistake in this module.
+    /// An empty list of buckets, which would be a bug in this module.
     pub fn new() -> Result<Self, BuildError> {
         let mut builder = PrometheusBuilder::new();
         for kind in METRIC_KINDS {
@@ -63,25 +64,26 @@
         let recorder = builder.build_recorder();
         let handle = recorder.handle();
         with_local_recorder(&recorder, names::describe);
-        Ok(Self { shared: Arc::new(Shared { recorder, handle, watches: Mutex::default() }) })
+        Ok(Self { shared: Arc::new(Shared { recorder, handle, scrape_hooks: Mutex::default() }) })
     }
 
-    /// The metrics as Prometheus reads them.
+    /// The metrics in the Prometheus text format.
     pub fn render(&self) -> String {
-        let watches = self.shared.watches.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        for watch in watches.iter() {
-            watch();
+        let scrape_hooks =
+            self.shared.scrape_hooks.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        for hook in scrape_hooks.iter() {
+            hook();
         }
         self.shared.handle.render()
     }
 
-    /// Folds recorded latencies into buckets; to be called every few seconds, so that a node that
-    /// nobody scrapes does not collect them for ever.
+    /// Aggregates recorded latencies into buckets. Must be called every few seconds, as the samples
+    /// of a node that is not scraped would accumulate without bound.
     pub fn run_upkeep(&self) {
         self.shared.handle.run_upkeep();
     }
 
-    /// The handles of the thread that decides about calls.
+    /// The handles for the thread that handles calls.
     pub fn calls(&self, names: LabelNames) -> CallMetrics {
         CallMetrics::new(self.clone(), names)
     }
@@ -93,7 +95,7 @@
 
     /// A counter with labels.
     pub fn counter_with(&self, name: &'static str, labels: &[(&'static str, &str)]) -> Counter {
-        let labels = owned(labels);
+        let labels = owned_labels(labels);
         self.register(|| counter!(name, &labels))
     }
 
@@ -104,18 +106,18 @@
 
     /// A gauge with labels.
     pub fn gauge_with(&self, name: &'static str, labels: &[(&'static str, &str)]) -> Gauge {
-        let labels = owned(labels);
+        let labels = owned_labels(labels);
         self.register(|| gauge!(name, &labels))
     }
 
     /// A histogram with labels, in seconds.
     pub fn histogram_with(&self, name: &'static str, labels: &[(&'static str, &str)]) -> Histogram {
-        let labels = owned(labels);
+        let labels = owned_labels(labels);
         self.register(|| histogram!(name, &labels))
     }
 
-    /// Shows the fill of a ring, read when the metrics are scraped, and returns the counter of
-    /// entries it refused.
+    /// Exports the length of a ring buffer, read when the metrics are scraped, and returns the
+    /// counter of rejected entries.
     pub fn watch_ring(
         &self,
         ring: &'static str,
@@ -125,29 +127,29 @@
         let labels = [("ring", ring)];
         self.gauge_with(names::RING_CAPACITY_ENTRIES, &labels).set(capacity as f64);
         let entries = self.gauge_with(names::RING_ENTRIES, &labels);
-        self.watch(move || entries.set(fill() as f64));
+        self.on_scrape(move || entries.set(fill() as f64));
         self.counter_with(names::RING_REFUSED_TOTAL, &labels)
     }
 
-    /// Shows a total that is counted elsewhere, read when the metrics are scraped.
+    /// Exports a total that is counted elsewhere, read when the metrics are scraped.
     pub fn watch_total(&self, name: &'static str, total: impl Fn() -> u64 + Send + Sync + 'static) {
         let counter = self.counter(name);
-        self.watch(move || counter.absolute(total()));
+        self.on_scrape(move || counter.absolute(total()));
     }
 
-    /// Calls `watch` whenever the metrics are scraped.
-    fn watch(&self, watch: impl Fn() + Send + Sync + 'static) {
-        let mut watches =
-            self.shared.watches.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        watches.push(Box::new(watch));
+    /// Calls `hook` whenever the metrics are scraped.
+    fn on_scrape(&self, hook: impl Fn() + Send + Sync + 'static) {
+        let mut scrape_hooks =
+            self.shared.scrape_hooks.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        scrape_hooks.push(Box::new(hook));
     }
 
-    /// Lets a macro of the facade register in this node's recorder.
+    /// Lets a macro of the `metrics` facade register with this node's recorder.
     fn register<H>(&self, make: impl FnOnce() -> H) -> H {
         with_local_recorder(&self.shared.recorder, make)
     }
 }
 
-fn owned(labels: &[(&'static str, &str)]) -> Vec<(&'static str, String)> {
+fn owned_labels(labels: &[(&'static str, &str)]) -> Vec<(&'static str, String)> {
     labels.iter().map(|(name, value)| (*name, (*value).to_owned())).collect()
 }
--- a/src/telemetry/metrics/calls.rs
+++ b/src/telemetry/metrics/calls.rs
@@ -1,4 +1,4 @@
-//! The handles of the thread that decides about calls, cached by their labels.
+//! Metrics of calls and attempts, with handles cached by their labels.
 
 use std::collections::HashMap;
 
@@ -9,10 +9,10 @@
 use crate::clock::US_PER_S;
 use crate::config::Rules;
 
-/// The label of a class or an arm that the rules in force do not know.
+/// The label of a class or an arm that is not in the rules in force.
 const UNKNOWN: &str = "unknown";
 
-/// The names that stand for ranks and numbers in labels.
+/// The names of classes and arms, which labels show in place of ranks and numbers.
 #[derive(Clone, Debug, Default)]
 pub struct LabelNames {
     classes: HashMap<ClassRank, String>,
@@ -41,12 +41,12 @@
     }
 }
 
-/// Where a whole call came from.
+/// Where a call came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CallSource {
     /// An outside caller.
     Caller,
-    /// The target beside the node.
+    /// The node's target.
     Target,
 }
 
@@ -59,25 +59,25 @@
     }
 }
 
-/// What became of a call, as its names appear in headers and bodies.
+/// The outcome of a call, by the names that headers and bodies use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Outcome {
     /// `answered`, `not-run` or `may-have-run`.
     pub verdict: &'static str,
-    /// The reason of a refusal or a doubt; the class of the status (`2xx`) for an answer.
+    /// The reason why it did not run or may have run; for an answer the status class (`2xx`).
     pub reason: &'static str,
 }
 
-/// What became of the wish for one more attempt.
+/// The outcome of the decision whether to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RetryOutcome {
-    /// It was made.
+    /// The retry was sent.
     Granted,
-    /// The allowance of the root is used up.
+    /// The retry allowance of the root request is used up.
     Allowance,
-    /// The node's own budget is used up.
+    /// The node's own retry budget is used up.
     Budget,
-    /// The entry node, which holds the allowance, did not answer.
+    /// The entry node, which holds the retry allowance, did not answer.
     EntryAway,
     /// There was not enough time left.
     Deadline,
@@ -99,14 +99,14 @@
     }
 }
 
-/// The load of one arm at the target beside the node.
+/// The load of one arm at the node's target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ArmLoad {
     /// Calls the target is running.
     pub running: u32,
-    /// Calls waiting.
+    /// Calls in the queue.
     pub queued: u32,
-    /// How many calls may run at once.
+    /// Maximum number of calls running at once.
     pub limit: u32,
     /// Calls below this level are refused.
     pub floor: Level,
@@ -128,21 +128,21 @@
     floor: Gauge,
 }
 
-/// The counter and the histogram of whole calls.
-type CallKey = (CallSource, ClassRank, ArmId);
-type ServiceKey<T> = (ArmId, T);
+/// The labels that the counter and the histogram of calls share.
+type CallLabels = (CallSource, ClassRank, ArmId);
+type ServiceLabels<T> = (ArmId, T);
 
-/// Counts calls and attempts; owned by the thread that decides about them.
+/// Counts calls and attempts. Owned by the thread that handles them.
 #[derive(Debug)]
 pub struct CallMetrics {
     metrics: Metrics,
     names: LabelNames,
-    calls: HashMap<(CallKey, Outcome), Counter>,
-    durations: HashMap<CallKey, Histogram>,
+    calls: HashMap<(CallLabels, Outcome), Counter>,
+    durations: HashMap<CallLabels, Histogram>,
     added: HashMap<ArmId, Histogram>,
-    /// By service, so that a look-up needs no owned name.
-    attempts: HashMap<String, HashMap<ServiceKey<Outcome>, Counter>>,
-    retries: HashMap<String, HashMap<ServiceKey<RetryOutcome>, Counter>>,
+    /// Keyed by service first, so that a look-up needs no owned string.
+    attempts: HashMap<String, HashMap<ServiceLabels<Outcome>, Counter>>,
+    retries: HashMap<String, HashMap<ServiceLabels<RetryOutcome>, Counter>>,
     received: HashMap<(ClassRank, ArmId, Outcome), Counter>,
     busy: HashMap<(ClassRank, ArmId), Counter>,
     wasted: HashMap<(ClassRank, ArmId), Counter>,
@@ -171,9 +171,9 @@
         }
     }
 
-    /// Takes the names of a new configuration; what is counted from now on carries them.
+    /// Applies the names of a new configuration to everything that is counted from now on.
     pub fn set_config(&mut self, config_version: u64, names: LabelNames) {
-        // An arm that is no longer in force has no load; its last one must not stay on view.
+        // The gauges of an arm that is no longer in force must not keep their last values.
         for gauges in self.loads.values() {
             gauges.set(&ArmLoad { running: 0, queued: 0, limit: 0, floor: Level::LOWEST });
         }
@@ -181,7 +181,7 @@
         self.config_version.set(config_version as f64);
     }
 
-    /// Counts a whole call that has ended.
+    /// Counts a call that has ended, with its duration.
     pub fn call_ended(
         &mut self,
         from: CallSource,
@@ -208,7 +208,7 @@
         durations.record(seconds(took_us));
     }
 
-    /// Records the time that was added to an answered call.
+    /// Records the latency that the nodes added to an answered call.
     pub fn latency_added(&mut self, arm: ArmId, added_us: u64) {
         let Self { metrics, names, .. } = self;
         let added = self.added.entry(arm).or_insert_with(|| {
@@ -220,7 +220,7 @@
     /// Counts an attempt that was sent and has ended.
     pub fn attempt_ended(&mut self, service: &str, arm: ArmId, outcome: Outcome) {
         let Self { metrics, names, .. } = self;
-        let attempts = of_service(&mut self.attempts, service);
+        let attempts = service_entry(&mut self.attempts, service);
         let attempts = attempts.entry((arm, outcome)).or_insert_with(|| {
             let Outcome { verdict, reason } = outcome;
             let labels = [
@@ -234,10 +234,10 @@
         attempts.increment(1);
     }
 
-    /// Counts the wish for one more attempt.
+    /// Counts a decision whether to retry.
     pub fn retry_decided(&mut self, service: &str, arm: ArmId, outcome: RetryOutcome) {
         let Self { metrics, names, .. } = self;
-        let retries = of_service(&mut self.retries, service);
+        let retries = service_entry(&mut self.retries, service);
         let retries = retries.entry((arm, outcome)).or_insert_with(|| {
             let labels =
                 [("service", service), ("arm", names.arm(arm)), ("outcome", outcome.label())];
@@ -262,7 +262,7 @@
         received.increment(1);
     }
 
-    /// Adds the time the target spent on a call, and whether it was spent in vain.
+    /// Adds the time the target spent on a call; `wasted` if the result was of no use.
     pub fn target_ended(&mut self, class: ClassRank, arm: ArmId, took_us: u64, wasted: bool) {
         let Self { metrics, names, .. } = self;
         let labels = || [("class", names.class(class)), ("arm", names.arm(arm))];
@@ -279,7 +279,7 @@
         lost.increment(took_us);
     }
 
-    /// Shows the load of an arm; to be called now and then, not for each call.
+    /// Exports the load of an arm. Meant to be called periodically rather than for each call.
     pub fn arm_load(&mut self, arm: ArmId, load: &ArmLoad) {
         let Self { metrics, names, .. } = self;
         let gauges = self.loads.entry(arm).or_insert_with(|| {
@@ -294,7 +294,7 @@
         gauges.set(load);
     }
 
-    /// Shows how many nodes of a service are known.
+    /// Exports the number of known nodes of a service.
     pub fn members(&mut self, service: &str, members: usize) {
         if !self.members.contains_key(service) {
             let gauge = self.metrics.gauge_with(names::MEMBERS, &[("service", service)]);
@@ -313,15 +313,15 @@
     }
 }
 
-/// The inner map of a service, without an owned name where it is there already.
-fn of_service<'a, K>(
+/// The inner map of a service. Allocates the key only if the service is new.
+fn service_entry<'a, K>(
     by_service: &'a mut HashMap<String, HashMap<K, Counter>>,
     service: &str,
 ) -> &'a mut HashMap<K, Counter> {
     if !by_service.contains_key(service) {
         by_service.insert(service.to_owned(), HashMap::new());
     }
-    by_service.get_mut(service).expect("was inserted just now")
+    by_service.get_mut(service).expect("inserted above")
 }
 
 fn seconds(duration_us: u64) -> f64 {
--- a/src/telemetry/metrics/names.rs
+++ b/src/telemetry/metrics/names.rs
@@ -1,34 +1,34 @@
-//! The names of all metrics, with their units, labels and meaning.
+//! The catalogue of metrics: names, units, labels and help texts.
 
 use ::metrics::{Unit, describe_counter, describe_gauge, describe_histogram};
 
-/// What kind of metric it is.
+/// The type of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricType {
-    /// Only grows.
+    /// A total that only grows.
     Counter,
-    /// Goes up and down.
+    /// A value that goes up and down.
     Gauge,
-    /// A distribution.
+    /// A distribution of values.
     Histogram,
 }
 
-/// What the catalogue says about one metric.
+/// The catalogue entry of one metric.
 #[derive(Clone, Copy, Debug)]
 pub struct MetricKind {
     /// The name, which carries the unit as a suffix.
     pub name: &'static str,
-    /// What kind it is.
+    /// The type.
     pub metric_type: MetricType,
     /// The unit.
     pub unit: Unit,
     /// The names of its labels.
     pub labels: &'static [&'static str],
-    /// What it tells.
+    /// The help text.
     pub help: &'static str,
 }
 
-/// Declares the constants together with the catalogue, so that they cannot differ.
+/// Declares the constants together with the catalogue, which keeps them consistent.
 macro_rules! metric_kinds {
     ($($constant:ident $name:literal $metric_type:ident $unit:ident [$($label:literal),*] $help:literal)*) => {
         $(#[doc = $help] pub const $constant: &str = $name;)*
@@ -101,7 +101,7 @@
         "Connections closed because their request did not arrive in time."
 }
 
-/// Hands the catalogue to the recorder in force.
+/// Registers the units and help texts with the current recorder.
 pub(super) fn describe() {
     for kind in METRIC_KINDS {
         match kind.metric_type {
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! What a node tells about itself: metrics that are scraped, spans that are sent to a collector.
+//! Telemetry of a node: metrics that are scraped and spans that are sent to a collector.
 
 pub mod metrics;
 pub mod trace;
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -1,8 +1,8 @@
 //! Traces: a span for each hop, sent in batches to a collector by OTLP over HTTP (JSON).
 //!
-//! Whoever makes a span pushes it into a bounded ring and goes on; a full ring drops the span and
-//! counts it. One thread takes spans from the ring and sends them. A collector that is away costs
-//! the spans of that time and nothing else.
+//! Spans are pushed into a bounded ring buffer without blocking; if it is full, the span is dropped
+//! and counted. One thread takes spans from the ring buffer and sends them. While the collector is
+//! unavailable, spans are lost and nothing else is affected.
 
 mod convert;
 mod export;
@@ -24,21 +24,21 @@
 
 pub use self::span::{AttributeValue, SpanKind, SpanRecord};
 
-/// How many spans may wait for the exporting thread.
-pub const SPANS_WAITING_MAX: usize = 8_192;
-/// How many bits of a trace id decide about sampling: the upper 53 of the low 56, which are random
-/// (W3C Trace Context, level 2), so that a double holds them exactly.
+/// Default capacity of the ring buffer in front of the exporting thread, in spans.
+pub const RING_ENTRIES_DEFAULT: usize = 8_192;
+/// The number of trace id bits that decide about sampling: the upper 53 of the low 56 bits, which
+/// are random (W3C Trace Context, level 2). A double holds 53 bits exactly.
 const RANDOM_BITS: u32 = 53;
-/// How long a stop waits for the last spans to be sent.
-const LAST_EXPORT_MAX: Duration = Duration::from_secs(2);
+/// How long a stop waits until the remaining spans are sent.
+const FINAL_EXPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How spans are sent.
 #[derive(Builder, Clone, Debug)]
 pub struct TraceOptions {
-    /// Where spans are sent; the path `/v1/traces` is added where there is none.
+    /// The URL of the collector; the path `/v1/traces` is added if there is none.
     #[builder(into)]
     pub otlp_url: String,
-    /// The service of the target beside the node.
+    /// The service of the node's target.
     #[builder(into)]
     pub service: String,
     /// The name of the node.
@@ -47,24 +47,24 @@
     /// The failure domain of the VM.
     #[builder(into)]
     pub failure_domain: String,
-    /// How long the collector may take for a batch, in milliseconds.
+    /// Timeout for sending a batch, in milliseconds.
     #[builder(default = 3_000)]
     pub export_timeout_ms: u64,
-    /// How many spans may wait in the ring.
-    #[builder(default = SPANS_WAITING_MAX)]
+    /// Capacity of the ring buffer, in spans.
+    #[builder(default = RING_ENTRIES_DEFAULT)]
     pub ring_entries: usize,
-    /// The most spans of a batch.
+    /// Maximum number of spans in a batch.
     #[builder(default = 512)]
     pub batch_spans: usize,
-    /// How long a batch waits to be filled, in milliseconds.
+    /// Maximum wait for a batch to fill up, in milliseconds.
     #[builder(default = 1_000)]
     pub batch_wait_ms: u64,
 }
 
-/// Why no spans can be sent.
+/// Why the export of spans cannot start.
 #[derive(Debug, Error)]
 pub enum TraceError {
-    /// The URL, or something else of the options, cannot be used.
+    /// The URL or another option is invalid.
     #[error("cannot send spans to {otlp_url:?}: {detail}")]
     Options {
         /// The URL as it was given.
@@ -72,12 +72,12 @@
         /// What is wrong.
         detail: String,
     },
-    /// The thread or its runtime could not be made.
+    /// The thread or its runtime could not be created.
     #[error("cannot start the thread that sends spans: {0}")]
     Thread(#[from] std::io::Error),
 }
 
-/// Where spans are pushed. Cheap to clone; never blocks.
+/// Handle for pushing spans. Cheap to clone; never blocks.
 #[derive(Clone)]
 pub struct SpanSink {
     ring: Option<mpsc::Sender<SpanRecord>>,
@@ -85,17 +85,17 @@
 }
 
 impl SpanSink {
-    /// A sink that takes nothing, for a node without a collector.
+    /// A sink that discards all spans, for a node without a collector.
     pub fn disabled() -> Self {
         Self { ring: None, dropped: Counter::noop() }
     }
 
-    /// Whether spans are sent at all; where not, none need be made.
+    /// Whether spans are exported; if not, callers need not create any.
     pub fn is_enabled(&self) -> bool {
         self.ring.is_some()
     }
 
-    /// Hands a span in, or drops and counts it where the ring is full.
+    /// Queues a span, or drops and counts it if the ring buffer is full.
     pub fn push(&self, span: SpanRecord) {
         let Some(ring) = &self.ring else {
             return;
@@ -125,50 +125,49 @@
     ///
     /// # Errors
     ///
-    /// Options that cannot be used, or a thread that cannot be started. A collector that is away is
-    /// no error.
+    /// Invalid options, or a thread that cannot be started. An unavailable collector is not an error.
     pub fn start(
         options: &TraceOptions,
         metrics: &Metrics,
         events: EventLog,
     ) -> Result<Self, TraceError> {
-        let (ring, taken) = mpsc::channel(options.ring_entries);
+        let (ring, receiver) = mpsc::channel(options.ring_entries);
         let dropped = metrics.counter_with(names::SPANS_DROPPED_TOTAL, &[("reason", "ring_full")]);
         let (stop, stopped) = oneshot::channel();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let exporter = Exporter::new(options, metrics, events)?;
         let thread = std::thread::Builder::new()
             .name("trace".to_owned())
-            .spawn(move || runtime.block_on(exporter.run(taken, stopped)))?;
+            .spawn(move || runtime.block_on(exporter.run(receiver, stopped)))?;
         Ok(Self { sink: SpanSink { ring: Some(ring), dropped }, stop, thread })
     }
 
-    /// Where spans are pushed.
+    /// A handle for pushing spans.
     pub fn sink(&self) -> SpanSink {
         self.sink.clone()
     }
 
-    /// Sends what waits in the ring, within a short time, and stops the thread.
+    /// Sends the spans in the ring buffer, within a short timeout, and stops the thread.
     pub fn stop(self) {
-        // A thread that has ended already takes no signal.
+        // Fails if the thread has already ended.
         let _ = self.stop.send(());
-        // Its panic has been reported by whoever watches the duties.
+        // A panic of the thread has already been reported by the panic hook.
         let _ = self.thread.join();
     }
 }
 
-/// Whether spans of a root are recorded: as its caller decided, or by the share in the settings
-/// where the caller brought no trace. All hops of a root follow the entry's decision.
+/// Whether spans of a root request are recorded: as its caller decided, or by the share in the
+/// settings if the caller sent no trace context. All hops follow the decision of the entry node.
 pub fn is_sampled(
     settings: &TelemetrySettings,
-    brought: Option<&TraceContext>,
+    incoming: Option<&TraceContext>,
     trace_id: u128,
 ) -> bool {
     if settings.otlp_url.is_none() {
         return false;
     }
-    if let Some(brought) = brought {
-        return brought.sampled;
+    if let Some(incoming) = incoming {
+        return incoming.sampled;
     }
     let random = (trace_id as u64 >> 3) & ((1 << RANDOM_BITS) - 1);
     (random as f64) < settings.sample_share * (1_u64 << RANDOM_BITS) as f64
--- a/src/telemetry/trace/convert.rs
+++ b/src/telemetry/trace/convert.rs
@@ -1,4 +1,4 @@
-//! Turns a span's record into the form of the OpenTelemetry library.
+//! Converts span records into the types of the OpenTelemetry SDK.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -11,10 +11,10 @@
 
 use super::{AttributeValue, SpanKind, SpanRecord, TraceOptions};
 
-/// The name of the program in traces.
+/// The namespace and instrumentation scope of all spans.
 const PROGRAM: &str = "aspenspring";
 
-/// Who the spans come from.
+/// The resource attributes, which describe the node.
 pub(super) fn resource(options: &TraceOptions) -> Resource {
     let attributes = [
         KeyValue::new("service.namespace", PROGRAM),
@@ -28,7 +28,7 @@
         .build()
 }
 
-/// The library's form of a span.
+/// Converts a span record.
 pub(super) fn span_data(span: SpanRecord) -> SpanData {
     let trace_id = TraceId::from_bytes(span.trace_id.to_be_bytes());
     let span_id = SpanId::from_bytes(span.span_id.to_be_bytes());
@@ -37,7 +37,7 @@
         span_context: SpanContext::new(trace_id, span_id, flags, false, TraceState::NONE),
         parent_span_id: SpanId::from_bytes(span.parent_span_id.to_be_bytes()),
         parent_span_is_remote: span.kind == SpanKind::Server,
-        span_kind: otel_kind(span.kind),
+        span_kind: otel_span_kind(span.kind),
         name: span.name,
         start_time: system_time(span.start_unix_us),
         end_time: system_time(span.end_unix_us),
@@ -50,7 +50,7 @@
     }
 }
 
-fn otel_kind(kind: SpanKind) -> OtelSpanKind {
+fn otel_span_kind(kind: SpanKind) -> OtelSpanKind {
     match kind {
         SpanKind::Server => OtelSpanKind::Server,
         SpanKind::Client => OtelSpanKind::Client,
--- a/src/telemetry/trace/export.rs
+++ b/src/telemetry/trace/export.rs
@@ -1,4 +1,4 @@
-//! Takes spans from the ring and sends them to the collector.
+//! Takes spans from the ring buffer and sends them to the collector.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 use super::convert::{resource, span_data};
-use super::{LAST_EXPORT_MAX, SpanRecord, TraceError, TraceOptions};
+use super::{FINAL_EXPORT_TIMEOUT, SpanRecord, TraceError, TraceOptions};
 use crate::event::{EventLog, LogEvent};
 use crate::telemetry::metrics::{Metrics, names};
 
@@ -23,24 +23,24 @@
     batch_wait: Duration,
     export_timeout: Duration,
     exported: Counter,
-    lost: Counter,
+    dropped: Counter,
     events: EventLog,
-    /// Spans lost since the collector went away, while it is.
-    lost_since_away: Option<u64>,
+    /// Spans dropped since the collector became unavailable, or `None` while it is available.
+    dropped_since_failure: Option<u64>,
 }
 
 impl Exporter {
-    /// Prepares the client; connects to nothing.
+    /// Prepares the client without connecting.
     pub(super) fn new(
         options: &TraceOptions,
         metrics: &Metrics,
         events: EventLog,
     ) -> Result<Self, TraceError> {
-        let refused =
+        let invalid_options =
             |detail: String| TraceError::Options { otlp_url: options.otlp_url.clone(), detail };
         let export_timeout = Duration::from_millis(options.export_timeout_ms);
-        let endpoint = endpoint(&options.otlp_url).map_err(refused)?;
-        let client = client(export_timeout).map_err(|error| refused(error.to_string()))?;
+        let endpoint = endpoint(&options.otlp_url).map_err(invalid_options)?;
+        let client = client(export_timeout).map_err(|error| invalid_options(error.to_string()))?;
         let mut exporter = SpanExporter::builder()
             .with_http()
             .with_http_client(client)
@@ -49,22 +49,22 @@
             .with_timeout(export_timeout)
             .with_retry_policy(RetryPolicy::disabled())
             .build()
-            .map_err(|error| refused(error.to_string()))?;
+            .map_err(|error| invalid_options(error.to_string()))?;
         exporter.set_resource(&resource(options));
-        let lost = [("reason", "collector_away")];
+        let labels = [("reason", "collector_away")];
         Ok(Self {
             exporter,
             batch_spans: options.batch_spans,
             batch_wait: Duration::from_millis(options.batch_wait_ms),
             export_timeout,
             exported: metrics.counter(names::SPANS_EXPORTED_TOTAL),
-            lost: metrics.counter_with(names::SPANS_DROPPED_TOTAL, &lost),
+            dropped: metrics.counter_with(names::SPANS_DROPPED_TOTAL, &labels),
             events,
-            lost_since_away: None,
+            dropped_since_failure: None,
         })
     }
 
-    /// Sends what comes out of the ring until it is told to stop.
+    /// Sends spans from the ring buffer until it is closed or a stop is requested.
     pub(super) async fn run(
         mut self,
         mut ring: mpsc::Receiver<SpanRecord>,
@@ -78,41 +78,41 @@
             let Some(first) = first else {
                 return;
             };
-            let batch = self.fill(first, &mut ring).await;
+            let batch = self.fill_batch(first, &mut ring).await;
             self.export(batch).await;
         }
         ring.close();
-        // What is not sent by then is lost with the node.
-        let _ = timeout(LAST_EXPORT_MAX, self.export_rest(&mut ring)).await;
+        // Spans that are not sent by then are lost.
+        let _ = timeout(FINAL_EXPORT_TIMEOUT, self.export_remaining(&mut ring)).await;
     }
 
-    /// Waits until the batch that begins with `first` is full or its time is over.
-    async fn fill(
+    /// Waits until the batch that begins with `first` is full or the maximum wait has passed.
+    async fn fill_batch(
         &self,
         first: SpanRecord,
         ring: &mut mpsc::Receiver<SpanRecord>,
     ) -> Vec<SpanRecord> {
         let mut batch = vec![first];
-        let due = Instant::now() + self.batch_wait;
+        let deadline = Instant::now() + self.batch_wait;
         while batch.len() < self.batch_spans {
-            let room = self.batch_spans - batch.len();
-            let taken = timeout_at(due, ring.recv_many(&mut batch, room)).await;
-            if taken.is_err() || taken == Ok(0) {
+            let remaining = self.batch_spans - batch.len();
+            let received = timeout_at(deadline, ring.recv_many(&mut batch, remaining)).await;
+            if received.is_err() || received == Ok(0) {
                 break;
             }
         }
         batch
     }
 
-    /// Sends what was in the ring when it was closed.
-    async fn export_rest(&mut self, ring: &mut mpsc::Receiver<SpanRecord>) {
+    /// Sends the spans that were in the ring buffer when it was closed.
+    async fn export_remaining(&mut self, ring: &mut mpsc::Receiver<SpanRecord>) {
         let mut batch = Vec::new();
         while ring.recv_many(&mut batch, self.batch_spans).await > 0 {
             self.export(std::mem::take(&mut batch)).await;
         }
     }
 
-    /// Sends one batch, once.
+    /// Sends one batch, without retries.
     async fn export(&mut self, batch: Vec<SpanRecord>) {
         let spans = batch.len() as u64;
         let batch = batch.into_iter().map(span_data).collect();
@@ -122,28 +122,28 @@
             Err(_) => Some("no answer in time".to_owned()),
         };
         match failure {
-            None => self.exported(spans),
-            Some(detail) => self.not_exported(spans, detail),
+            None => self.record_success(spans),
+            Some(detail) => self.record_failure(spans, detail),
         }
     }
 
-    fn exported(&mut self, spans: u64) {
+    fn record_success(&mut self, spans: u64) {
         self.exported.increment(spans);
-        if let Some(dropped_spans) = self.lost_since_away.take() {
+        if let Some(dropped_spans) = self.dropped_since_failure.take() {
             self.events.emit(&LogEvent::CollectorBack { dropped_spans });
         }
     }
 
-    fn not_exported(&mut self, spans: u64, detail: String) {
-        self.lost.increment(spans);
-        if self.lost_since_away.is_none() {
+    fn record_failure(&mut self, spans: u64, detail: String) {
+        self.dropped.increment(spans);
+        if self.dropped_since_failure.is_none() {
             self.events.emit(&LogEvent::CollectorAway { detail, spans });
         }
-        self.lost_since_away = Some(self.lost_since_away.unwrap_or(0) + spans);
+        self.dropped_since_failure = Some(self.dropped_since_failure.unwrap_or(0) + spans);
     }
 }
 
-/// A client that follows nothing, repeats nothing and reads nothing from the environment.
+/// A client without redirects, retries and proxies from the environment.
 fn client(timeout: Duration) -> reqwest::Result<reqwest::Client> {
     reqwest::Client::builder()
         .no_proxy()
@@ -155,7 +155,7 @@
         .build()
 }
 
-/// The URL spans are posted to.
+/// The URL that spans are posted to.
 fn endpoint(otlp_url: &str) -> Result<String, String> {
     let mut url = reqwest::Url::parse(otlp_url).map_err(|error| error.to_string())?;
     if !matches!(url.scheme(), "http" | "https") {
--- a/src/telemetry/trace/span.rs
+++ b/src/telemetry/trace/span.rs
@@ -1,28 +1,28 @@
-//! The record of one span.
+//! Span records, which are independent of the OpenTelemetry SDK.
 
 use std::borrow::Cow;
 
 use bon::Builder;
 
-/// Which side of an exchange a span shows.
+/// The side of an exchange that a span describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpanKind {
-    /// The node took a request from a caller, a target or another node.
+    /// The node received a request from a caller, a target or another node.
     Server,
     /// The node sent a request to a target or another node.
     Client,
-    /// Something within the node, such as waiting in a queue.
+    /// An operation within the node, such as waiting in a queue.
     Internal,
 }
 
 /// The value of an attribute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttributeValue {
-    /// A text.
+    /// A string.
     Text(Cow<'static, str>),
-    /// A whole number.
+    /// An integer.
     Number(i64),
-    /// Yes or no.
+    /// A boolean.
     Flag(bool),
 }
 
@@ -50,29 +50,29 @@
     }
 }
 
-/// One span, complete.
+/// A completed span.
 #[derive(Builder, Clone, Debug, PartialEq)]
 pub struct SpanRecord {
-    /// The trace; not 0.
+    /// The trace id; not 0.
     pub trace_id: u128,
-    /// The span; not 0.
+    /// The span id; not 0.
     pub span_id: u64,
-    /// The span that caused this one; 0 where there is none.
+    /// The id of the parent span; 0 if there is none.
     #[builder(default)]
     pub parent_span_id: u64,
-    /// What was done.
+    /// The name of the operation.
     #[builder(into)]
     pub name: Cow<'static, str>,
-    /// Which side of an exchange it shows.
+    /// The side of an exchange that it describes.
     pub kind: SpanKind,
     /// When it began, in microseconds since the Unix epoch.
     pub start_unix_us: u64,
     /// When it ended, in microseconds since the Unix epoch.
     pub end_unix_us: u64,
-    /// Whether it failed.
+    /// Whether the operation failed.
     #[builder(default)]
     pub failed: bool,
-    /// What else is known.
+    /// Further attributes.
     #[builder(default)]
     pub attributes: Vec<(&'static str, AttributeValue)>,
 }
--- a/tests/telemetry_metrics.rs
+++ b/tests/telemetry_metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics: what is scraped, labels, the catalogue.
+//! Tests of the metrics: the scraped text, labels, the catalogue in the docs.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 
 const SHED: Outcome = Outcome { verdict: "not-run", reason: "shed" };
 
-fn has(text: &str, line: &str) {
+fn assert_has_line(text: &str, line: &str) {
     assert!(text.lines().any(|candidate| candidate == line), "{line:?} is not in:\n{text}");
 }
 
@@ -30,37 +30,43 @@
     calls.arm_load(arm, &ArmLoad { running: 3, queued: 1, limit: 25, floor: Level(256) });
     calls.members("stock", 4);
     let text = metrics.render();
-    has(
+    assert_has_line(
         &text,
         concat!(
             "aspenspring_calls_total{from=\"caller\",class=\"unknown\",arm=\"unknown\",",
             "verdict=\"not-run\",reason=\"shed\"} 2"
         ),
     );
-    has(
+    assert_has_line(
         &text,
         concat!(
             "aspenspring_call_duration_seconds_sum{from=\"caller\",class=\"unknown\",",
             "arm=\"unknown\"} 3"
         ),
     );
-    has(
+    assert_has_line(
         &text,
         "aspenspring_retries_total{service=\"stock\",arm=\"unknown\",outcome=\"allowance\"} 1",
     );
-    has(
+    assert_has_line(
         &text,
         "aspenspring_target_wasted_microseconds_total{class=\"unknown\",arm=\"unknown\"} 1500",
     );
-    has(&text, "aspenspring_added_latency_seconds_bucket{arm=\"unknown\",le=\"0.0014\"} 0");
-    has(&text, "aspenspring_added_latency_seconds_bucket{arm=\"unknown\",le=\"0.0018\"} 1");
-    has(&text, "aspenspring_limit{arm=\"unknown\"} 25");
-    has(&text, "aspenspring_floor{arm=\"unknown\"} 256");
-    has(&text, "aspenspring_members{service=\"stock\"} 4");
+    assert_has_line(
+        &text,
+        "aspenspring_added_latency_seconds_bucket{arm=\"unknown\",le=\"0.0014\"} 0",
+    );
+    assert_has_line(
+        &text,
+        "aspenspring_added_latency_seconds_bucket{arm=\"unknown\",le=\"0.0018\"} 1",
+    );
+    assert_has_line(&text, "aspenspring_limit{arm=\"unknown\"} 25");
+    assert_has_line(&text, "aspenspring_floor{arm=\"unknown\"} 256");
+    assert_has_line(&text, "aspenspring_members{service=\"stock\"} 4");
     calls.set_config(7, LabelNames::default());
     let text = metrics.render();
-    has(&text, "aspenspring_config_version 7");
-    has(&text, "aspenspring_limit{arm=\"unknown\"} 0");
+    assert_has_line(&text, "aspenspring_config_version 7");
+    assert_has_line(&text, "aspenspring_limit{arm=\"unknown\"} 0");
 }
 
 #[test]
@@ -70,21 +76,21 @@
     let seen = Arc::clone(&fill);
     let refused = metrics.watch_ring("decider", 64, move || seen.load(Ordering::Relaxed));
     metrics.watch_total(names::LOG_DROPPED_TOTAL, || 11);
-    has(&metrics.render(), "aspenspring_ring_entries{ring=\"decider\"} 3");
+    assert_has_line(&metrics.render(), "aspenspring_ring_entries{ring=\"decider\"} 3");
     fill.store(5, Ordering::Relaxed);
     refused.increment(2);
     let text = metrics.render();
-    has(&text, "aspenspring_ring_entries{ring=\"decider\"} 5");
-    has(&text, "aspenspring_ring_capacity_entries{ring=\"decider\"} 64");
-    has(&text, "aspenspring_ring_refused_total{ring=\"decider\"} 2");
-    has(&text, "aspenspring_log_dropped_total 11");
+    assert_has_line(&text, "aspenspring_ring_entries{ring=\"decider\"} 5");
+    assert_has_line(&text, "aspenspring_ring_capacity_entries{ring=\"decider\"} 64");
+    assert_has_line(&text, "aspenspring_ring_refused_total{ring=\"decider\"} 2");
+    assert_has_line(&text, "aspenspring_log_dropped_total 11");
 }
 
 #[test]
 fn two_nodes_in_one_process_do_not_share_metrics() {
-    let (one, other) = (Metrics::new().unwrap(), Metrics::new().unwrap());
-    one.counter(names::SPANS_EXPORTED_TOTAL).increment(1);
-    assert!(!other.render().contains("aspenspring_spans_exported_total 1"));
+    let (first, second) = (Metrics::new().unwrap(), Metrics::new().unwrap());
+    first.counter(names::SPANS_EXPORTED_TOTAL).increment(1);
+    assert!(!second.render().contains("aspenspring_spans_exported_total 1"));
 }
 
 #[test]
--- a/tests/telemetry_trace.rs
+++ b/tests/telemetry_trace.rs
@@ -1,4 +1,4 @@
-//! Spans: what is pushed arrives at a collector; one that is away costs drops and nothing else.
+//! Tests of the span export: delivery to the collector, and drops while it is unavailable.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
@@ -18,10 +18,10 @@
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
 
-/// The longest a test waits for something that must happen.
-const WAIT_MAX: Duration = Duration::from_secs(30);
+/// How long a test waits for an expected result before it fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a collector was sent, with the path of each request.
+/// The bodies of the requests that a collector received; null for a rejected request.
 #[derive(Clone, Default)]
 struct Received(Arc<Mutex<Vec<Value>>>);
 
@@ -38,7 +38,7 @@
 }
 
 #[post("/v1/traces", data = "<data>")]
-async fn take(
+async fn accept_batch(
     received: &State<Received>,
     data: Data<'_>,
 ) -> Result<(ContentType, &'static str), Problem> {
@@ -48,7 +48,7 @@
 }
 
 #[post("/broken/v1/traces")]
-fn broken(received: &State<Received>) -> Status {
+fn reject_batch(received: &State<Received>) -> Status {
     received.0.lock().unwrap().push(Value::Null);
     Status::ServiceUnavailable
 }
@@ -62,7 +62,9 @@
         .read_timeout_ms(5_000)
         .build();
     let state = received.clone();
-    let add = |rocket: Rocket<Build>| rocket.manage(state).mount("/", routes![take, broken]);
+    let add = |rocket: Rocket<Build>| {
+        rocket.manage(state).mount("/", routes![accept_batch, reject_batch])
+    };
     (WebServer::start(&options, add).unwrap(), received)
 }
 
@@ -94,9 +96,9 @@
 
 /// Waits until the metrics contain `line`.
 fn wait_for(metrics: &Metrics, line: &str) {
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     while !metrics.render().lines().any(|candidate| candidate == line) {
-        assert!(begun.elapsed() < WAIT_MAX, "no {line:?} in\n{}", metrics.render());
+        assert!(started.elapsed() < TEST_TIMEOUT, "no {line:?} in\n{}", metrics.render());
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -129,8 +131,8 @@
     server.stop().unwrap();
 }
 
-/// An address at which nobody listens, for as long as the socket is held: a port that was given back would
-/// be drawn by the collector of another test, which then got the spans.
+/// An address that nothing listens on while the socket is held. If the port were released, the
+/// collector of another test could bind it and receive the spans.
 fn closed_address() -> (Socket, SocketAddr) {
     let held = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     held.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -151,7 +153,7 @@
 
 #[test]
 fn a_full_ring_drops_and_counts_and_never_waits() {
-    // Accepts connections and answers nothing: the thread is stuck while the ring fills.
+    // Accepts connections and never answers, so that the thread blocks while the ring fills up.
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let metrics = Metrics::new().unwrap();
     let url = format!("http://{}", silent.local_addr().unwrap());
@@ -207,13 +209,13 @@
 #[test]
 fn the_caller_decides_about_sampling_where_it_brings_a_trace() {
     let mut settings = TelemetrySettings { sample_share: 0.0, ..Default::default() };
-    let brought = |sampled| TraceContext { trace_id: 7, parent_span_id: 8, sampled };
-    assert!(!is_sampled(&settings, Some(&brought(true)), 7), "there is no collector");
+    let incoming = |sampled| TraceContext { trace_id: 7, parent_span_id: 8, sampled };
+    assert!(!is_sampled(&settings, Some(&incoming(true)), 7), "there is no collector");
     settings.otlp_url = Some("http://127.0.0.1:1".to_owned());
-    assert!(is_sampled(&settings, Some(&brought(true)), 7));
+    assert!(is_sampled(&settings, Some(&incoming(true)), 7));
     assert!(!is_sampled(&settings, None, 0));
     settings.sample_share = 1.0;
-    assert!(!is_sampled(&settings, Some(&brought(false)), 7));
+    assert!(!is_sampled(&settings, Some(&incoming(false)), 7));
     assert!(is_sampled(&settings, None, u128::MAX));
     settings.sample_share = 0.25;
     let mut sampled = 0;
--- a/tests/telemetry_web.rs
+++ b/tests/telemetry_web.rs
@@ -1,4 +1,4 @@
-//! The shared HTTP listener: limits, timeouts, problem bodies, start and stop.
+//! Tests of the shared HTTP listener: limits, timeouts, problem bodies, start and stop.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,7 +12,7 @@
 const BODY_MAX_BYTES: usize = 2_048;
 
 #[get("/late")]
-fn late() -> Problem {
+fn unavailable() -> Problem {
     Problem::new(503, "Away").detail("the store").retry_after_ms(1_200).member("lost_to", 7)
 }
 
@@ -32,7 +32,7 @@
 }
 
 fn start() -> WebServer {
-    let add = |rocket: Rocket<Build>| rocket.mount("/", routes![late, body, slow]);
+    let add = |rocket: Rocket<Build>| rocket.mount("/", routes![unavailable, body, slow]);
     WebServer::start(&options(SocketAddr::from(([127, 0, 0, 1], 0))), add).unwrap()
 }
 
@@ -86,7 +86,7 @@
     server.stop().unwrap();
 }
 
-/// A handler that takes longer than a sender may.
+/// A handler that takes longer than the read timeout.
 #[get("/slow")]
 async fn slow() -> &'static str {
     tokio::time::sleep(Duration::from_millis(800)).await;
@@ -99,7 +99,7 @@
     let whole = "GET /late HTTP/1.1\r\nhost: x\r\n\r\n";
     let body = "POST /body HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\n123";
     for stalled in ["", "GET /la", &whole[..whole.len() - 2], body] {
-        // Reads until the listener closes the connection, and fails where it does not.
+        // Reads until the listener closes the connection; fails if it does not.
         let answer = exchange(server.address(), stalled);
         assert!(!answer.contains(" 200 "), "{answer}");
     }
@@ -120,7 +120,7 @@
             assert!(read > 0, "closed in the middle");
             length += read;
         }
-        // Longer than a sender may take for its first request.
+        // Longer than the read timeout of a first request.
         std::thread::sleep(Duration::from_millis(500));
     }
     assert_eq!(server.slow_senders_cut().load(Ordering::Relaxed), 0);
