--- a/src/call/body.rs
+++ b/src/call/body.rs
@@ -1,4 +1,4 @@
-//! How bytes are written: as they are between nodes, and readable in JSON.
+//! Serializes bodies: as raw bytes in binary formats, and in readable form in JSON.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -6,25 +6,25 @@
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// The form of bytes in JSON.
+/// The JSON form of bytes.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum Form {
-    /// Bytes that are UTF-8.
+    /// Valid UTF-8.
     Text {
         /// The text.
         text: String,
     },
-    /// Any bytes.
+    /// Any other bytes.
     Base64 {
         /// The bytes in base64.
         base64: String,
     },
-    /// The single bytes; they are read and never written.
+    /// A list of byte values. Accepted when reading, never written.
     List(Vec<u8>),
 }
 
-/// Writes bytes.
+/// Serializes bytes, for `#[serde(with)]`.
 pub(super) fn serialize<S: Serializer>(bytes: &Bytes, serializer: S) -> Result<S::Ok, S::Error> {
     if !serializer.is_human_readable() {
         return bytes.serialize(serializer);
@@ -36,7 +36,7 @@
     form.serialize(serializer)
 }
 
-/// Reads bytes.
+/// Deserializes bytes, for `#[serde(with)]`.
 pub(super) fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Bytes, D::Error> {
     if !deserializer.is_human_readable() {
         return Bytes::deserialize(deserializer);
--- a/src/call/frame.rs
+++ b/src/call/frame.rs
@@ -1,4 +1,4 @@
-//! The messages nodes exchange.
+//! The messages that nodes exchange.
 
 use std::net::SocketAddr;
 
@@ -10,28 +10,28 @@
 use super::level::{ArmId, ClassRank, Level};
 use super::verdict::Verdict;
 
-/// A request as the caller sent it, with internal headers taken off.
+/// A request as the caller sent it, without internal headers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HttpRequest {
     /// The method, in upper case.
     pub method: String,
-    /// The path below the service, with its query, beginning with a slash.
+    /// The path below the service, with the query; it begins with a slash.
     pub path: String,
     /// End-to-end headers, names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The whole body.
+    /// The complete body.
     #[serde(with = "super::body")]
     pub body: Bytes,
 }
 
-/// A whole answer of a target.
+/// The complete answer of a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HttpAnswer {
     /// The HTTP status.
     pub status: u16,
     /// End-to-end headers, names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The whole body.
+    /// The complete body.
     #[serde(with = "super::body")]
     pub body: Bytes,
 }
@@ -39,41 +39,41 @@
 /// The W3C trace context of a hop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TraceContext {
-    /// The trace all hops of a root share.
+    /// The trace id, which all hops of a root request share.
     pub trace_id: u128,
-    /// The span that caused this hop.
+    /// The parent span of this hop.
     pub parent_span_id: u64,
     /// Whether spans of this trace are recorded.
     pub sampled: bool,
 }
 
-/// One attempt on its way to a receiving node.
+/// One attempt, as it is sent to the receiving node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallFrame {
     /// The attempt.
     pub attempt: AttemptId,
-    /// The whole request it belongs to.
+    /// The root request that it belongs to.
     pub root: RootId,
-    /// The node that holds the retry allowance of the root, or none where there is no allowance.
+    /// The node that holds the retry allowance of the root, or `None` if there is no allowance.
     pub entry: Option<NodeId>,
-    /// Where that node listens for others: whoever is called further down may not know it.
+    /// The peer address of that node, as nodes of later hops may not know it.
     #[serde(default)]
     pub entry_address: Option<SocketAddr>,
     /// The class of the root.
     pub class: ClassRank,
-    /// Where the call stands in the order of shedding.
+    /// The position of the call in the shedding order.
     pub level: Level,
     /// The policy arm of the root.
     pub arm: ArmId,
-    /// Time left until the deadline, in microseconds, when the frame was sent.
+    /// Time left until the deadline when the frame was sent, in microseconds.
     pub remaining_us: u64,
-    /// How many hops lie above this one; 0 at the entry.
+    /// The number of hops before this one; 0 at the entry node.
     pub depth: u8,
-    /// 0 for the first attempt of a hop, then one more for each retry.
+    /// The retry number: 0 for the first attempt of a hop, then one more for each retry.
     pub retry: u8,
-    /// The service the sender means, checked by the receiver.
+    /// The requested service, which the receiver checks.
     pub service: String,
-    /// The key under which the call runs at most once.
+    /// The idempotency key under which the call runs at most once.
     pub key: Option<Key>,
     /// The trace context of the sender's span.
     pub trace: TraceContext,
@@ -81,20 +81,20 @@
     pub request: HttpRequest,
 }
 
-/// What a receiving node tells about itself on every answer and heartbeat.
+/// The load of a receiving node, sent with every answer and heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Calls the target is running now.
+    /// Calls that the target is running.
     pub running: u32,
-    /// Calls waiting in the receiving node.
+    /// Calls in the queue of the receiving node.
     pub queued: u32,
-    /// How many calls the receiving node lets run at once.
+    /// The receiving node's limit on calls running at once.
     pub limit: u32,
-    /// Smoothed time the target takes for a call, in microseconds.
+    /// Smoothed time that the target takes for a call, in microseconds.
     pub latency_us: u32,
-    /// Calls below this level are refused here or, as far as is known, further down.
+    /// Calls below this level are shed by this node or, as far as it knows, by a downstream one.
     pub floor: Level,
-    /// Whether the node takes no new work for good.
+    /// Whether the node is draining and will accept no new calls.
     pub leaving: bool,
 }
 
@@ -105,34 +105,36 @@
     pub attempt: AttemptId,
     /// The answering node.
     pub node: NodeId,
-    /// What became of it.
+    /// The outcome of the attempt.
     pub verdict: Verdict,
     /// The load of the answering node for the call's arm.
     pub load: LoadReport,
 }
 
-/// Everything that travels between two nodes.
+/// A message between two nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Please run this.
+    /// An attempt for the receiver to run.
     Call(Box<CallFrame>),
-    /// What became of an attempt.
+    /// The outcome of an attempt.
     Answer(AnswerFrame),
-    /// The sender has no more use for this attempt.
+    /// Cancels an attempt whose answer the sender no longer needs.
     Cancel(AttemptId),
-    /// Asks what became of an attempt whose connection was lost; an attempt that has not arrived
-    /// yet is refused for ever. Answered with `Answer` when the verdict is known.
+    /// Queries the outcome of an attempt whose connection was lost, and fences the attempt: if it
+    /// has not arrived yet, it is refused permanently. Answered with `Answer` once the verdict is
+    /// known.
     Fence {
-        /// The attempt in question.
+        /// The attempt.
         attempt: AttemptId,
-        /// The node life it was sent to. A later life at the same address knows nothing of it.
+        /// The node that it was sent to. A node that was restarted at the same address has another
+        /// id and knows nothing of the attempt.
         asked: NodeId,
-        /// How long the sender would wait for the verdict, in microseconds.
+        /// How long the sender waits for the verdict, in microseconds.
         remaining_us: u64,
     },
-    /// Asks the entry node of a root for leave to make one more attempt.
+    /// Asks the entry node of a root request for permission to retry.
     AskRetry {
-        /// The root whose allowance is drawn on.
+        /// The root request whose retry allowance is used.
         root: RootId,
         /// The attempt that failed.
         failed: AttemptId,
@@ -141,25 +143,25 @@
     RetryGrant {
         /// The attempt that failed.
         failed: AttemptId,
-        /// Whether one more attempt may be made.
+        /// Whether the retry is permitted.
         granted: bool,
     },
-    /// A message of the membership, encoded by its own module.
+    /// A membership message, encoded by the membership module.
     Gossip(#[serde(with = "super::body")] Bytes),
-    /// A message of the configuration, encoded by its own module.
+    /// A configuration message, encoded by the configuration module.
     Configuration(#[serde(with = "super::body")] Bytes),
-    /// Sent to see whether a connection still carries anything.
+    /// Heartbeat that checks whether a connection is alive.
     Ping {
-        /// The sender, so that the receiver can tell who is there.
+        /// The sender.
         from: NodeId,
         /// Echoed in the pong.
         sequence: u64,
     },
-    /// The answer to a ping, with the load of the node over all arms.
+    /// The answer to a ping, with the load of the node across all arms.
     Pong {
         /// The answering node.
         from: NodeId,
-        /// The sequence of the ping.
+        /// The sequence number of the ping.
         sequence: u64,
         /// The load of the answering node.
         load: LoadReport,
--- a/src/call/id.rs
+++ b/src/call/id.rs
@@ -1,13 +1,13 @@
-//! Identifiers of nodes, whole requests and single attempts.
+//! Identifiers of nodes, root requests and attempts.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One life of one node process.
+/// Identifies one incarnation of a node, from the start of its process to the end.
 ///
-/// It is drawn at random when the process starts, so a restarted node is a different node: nothing
-/// that was promised by an earlier life can be mistaken for a promise of the present one.
+/// The id is drawn at random when the process starts, so a restarted node is a different node and
+/// is never mistaken for the previous incarnation, whose commitments it does not know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId(pub u64);
 
@@ -17,7 +17,8 @@
     }
 }
 
-/// One whole request of an outside caller, over all of its hops. It is also the trace id.
+/// Identifies a root request: one request of an outside caller across all of its hops. Also used as
+/// the trace id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RootId(pub u128);
 
@@ -27,16 +28,16 @@
     }
 }
 
-/// One attempt of one hop: the unit that is admitted, run, refused or fenced.
+/// Identifies one attempt of one hop: the unit that is admitted, run, refused or fenced.
 ///
 /// A retry is a new attempt with a new sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
     /// The node that sent the attempt.
     pub origin: NodeId,
-    /// A counter of the sending node.
+    /// The sending node's sequence number.
     pub sequence: u64,
-    /// A random part, so that an attempt cannot be guessed from the ones before it.
+    /// A random part, so that the id cannot be guessed from earlier ones.
     pub nonce: u32,
 }
 
--- a/src/call/key.rs
+++ b/src/call/key.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys that name the one node which may ever run them.
+//! Idempotency keys, each of which names the only node that may run requests with it.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,49 +11,50 @@
 
 use super::id::NodeId;
 
-/// What the text of every minted key begins with; no other key may begin with it.
+/// The prefix of every minted key in text form. Caller-supplied keys must not begin with it.
 pub const MINTED_PREFIX: &str = "as1.";
-/// The longest key a caller may make itself, in bytes.
+/// Maximum length of a caller-supplied key, in bytes.
 pub const FOREIGN_MAX_BYTES: usize = 255;
-/// The bytes of a minted key before they are encoded: owner, time and nonce.
+/// The length of a minted key before it is encoded, in bytes: owner, time and nonce.
 const MINTED_BYTES: usize = 24;
-/// What the key of every claim row begins with.
+/// The prefix of the table row key of every claim.
 const CLAIM_ROW_PREFIX: &str = "claim:";
 /// The bit of the nonce that marks a key for one request.
 const ONE_REQUEST_BIT: u64 = 1 << 63;
-/// Keeps the hash for delegated keys apart from every other hash in use.
-const DELEGATION_DOMAIN: &[u8] = b"aspenspring delegated key 1";
-/// Keeps the hash for claim rows apart from every other hash in use.
-const CLAIM_DOMAIN: &[u8] = b"aspenspring claim row 1";
+/// Separates the hash for delegated keys from all other hashes in use.
+const DELEGATION_HASH_DOMAIN: &[u8] = b"aspenspring delegated key 1";
+/// Separates the hash for claim rows from all other hashes in use.
+const CLAIM_HASH_DOMAIN: &[u8] = b"aspenspring claim row 1";
 
-/// How long a key can run.
+/// How long a key can be used to run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum KeyLifetime {
-    /// The key was given to a caller, who may present it for long.
+    /// The key was issued to a caller, who may use it for a long time.
     Caller,
-    /// The key was minted for a request that came without one. Its caller never learns it, so
-    /// nobody presents it after the request's deadline.
+    /// The key was minted for a request without a key. The caller never learns it, so it is not
+    /// used after the request's deadline.
     OneRequest,
 }
 
-/// A key that belongs to exactly one life of one node for ever.
+/// A key that permanently belongs to exactly one incarnation of one node.
 ///
-/// Only the owner may run a request with this key, and it remembers in memory what it ran. When the
-/// owner is gone nobody else runs the key, so at most one run needs no write to the platform.
+/// Only the owner may run a request with this key, and it keeps a record of what it ran in memory.
+/// No other node runs the key when the owner is gone, so the guarantee of at most one run needs no
+/// write to the platform.
 ///
 /// Its text form is `as1.` followed by the owner, the time and the nonce in base64url.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// The only node that may run the key, or hand it on.
+    /// The only node that may run the key or delegate it.
     pub owner: NodeId,
     /// When the key was minted, in milliseconds since the Unix epoch.
     pub minted_unix_ms: u64,
-    /// A random part, whose highest bit tells the lifetime.
+    /// A random part, whose highest bit encodes the lifetime.
     pub nonce: u64,
 }
 
 impl Key {
-    /// A new key; `random` is taken but for the bit that tells the lifetime.
+    /// A new key; `random` provides all bits of the nonce except the one for the lifetime.
     pub fn mint(owner: NodeId, unix_ms: u64, random: u64, lifetime: KeyLifetime) -> Self {
         let nonce = match lifetime {
             KeyLifetime::Caller => random & !ONE_REQUEST_BIT,
@@ -62,7 +63,7 @@
         Self { owner, minted_unix_ms: unix_ms, nonce }
     }
 
-    /// How long the key can run.
+    /// The lifetime that the nonce encodes.
     pub fn lifetime(self) -> KeyLifetime {
         if self.nonce & ONE_REQUEST_BIT == 0 {
             KeyLifetime::Caller
@@ -71,22 +72,22 @@
         }
     }
 
-    /// The key that takes the place of this one after its owner delegated it to `heir`.
+    /// The key that replaces this one after its owner delegated it to `successor`.
     ///
-    /// The result depends on nothing but this key and `heir`, so everybody who is told of the
-    /// delegation, however often and by whatever way, derives the same key. To `heir` it is a key
-    /// of its own like any other. The time of minting and the lifetime are kept.
-    pub fn delegated_to(self, heir: NodeId) -> Key {
+    /// The result depends only on this key and `successor`, so every node that learns of the
+    /// delegation derives the same key. For `successor` it is one of its own keys. The minting time
+    /// and the lifetime are kept.
+    pub fn delegated_to(self, successor: NodeId) -> Key {
         let hash = Sha256::new()
-            .chain_update(DELEGATION_DOMAIN)
+            .chain_update(DELEGATION_HASH_DOMAIN)
             .chain_update(self.to_bytes())
-            .chain_update(heir.0.to_be_bytes())
+            .chain_update(successor.0.to_be_bytes())
             .finalize();
-        let nonce = u64::from_be_bytes(take(&hash));
-        Key::mint(heir, self.minted_unix_ms, nonce, self.lifetime())
+        let nonce = u64::from_be_bytes(first_bytes(&hash));
+        Key::mint(successor, self.minted_unix_ms, nonce, self.lifetime())
     }
 
-    /// The owner, the time and the nonce, each in network order.
+    /// The owner, the time and the nonce, each in network byte order.
     fn to_bytes(self) -> [u8; MINTED_BYTES] {
         let mut bytes = [0; MINTED_BYTES];
         bytes[..8].copy_from_slice(&self.owner.0.to_be_bytes());
@@ -98,9 +99,9 @@
     /// The reverse of `to_bytes`.
     fn from_bytes(bytes: &[u8; MINTED_BYTES]) -> Self {
         Self {
-            owner: NodeId(u64::from_be_bytes(take(&bytes[..8]))),
-            minted_unix_ms: u64::from_be_bytes(take(&bytes[8..16])),
-            nonce: u64::from_be_bytes(take(&bytes[16..])),
+            owner: NodeId(u64::from_be_bytes(first_bytes(&bytes[..8]))),
+            minted_unix_ms: u64::from_be_bytes(first_bytes(&bytes[8..16])),
+            nonce: u64::from_be_bytes(first_bytes(&bytes[16..])),
         }
     }
 }
@@ -114,11 +115,11 @@
 impl FromStr for Key {
     type Err = KeyTextError;
 
-    /// Reads the text form.
+    /// Parses the text form.
     ///
     /// # Errors
     ///
-    /// `NotMinted` without the prefix, `Malformed` where what follows is not a whole key.
+    /// `NotMinted` if the prefix is missing, `Malformed` if the rest is not a valid key.
     fn from_str(text: &str) -> Result<Self, KeyTextError> {
         let encoded = text.strip_prefix(MINTED_PREFIX).ok_or(KeyTextError::NotMinted)?;
         let decoded = URL_SAFE_NO_PAD.decode(encoded).map_err(|_| KeyTextError::Malformed)?;
@@ -128,28 +129,28 @@
 }
 
 /// The first `N` bytes of a slice that is known to be long enough.
-fn take<const N: usize>(bytes: &[u8]) -> [u8; N] {
-    let mut taken = [0; N];
-    taken.copy_from_slice(&bytes[..N]);
-    taken
+fn first_bytes<const N: usize>(bytes: &[u8]) -> [u8; N] {
+    let mut first = [0; N];
+    first.copy_from_slice(&bytes[..N]);
+    first
 }
 
-/// An idempotency key as a caller presents it.
+/// An idempotency key as received from a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ParsedKey<'a> {
-    /// A key that one of our nodes minted.
+    /// A key that a node minted.
     Minted(Key),
-    /// A key of the caller's own making; it has to be claimed for an owner before it can run.
+    /// A caller-supplied key. It must be claimed for an owner before it can run.
     Foreign(&'a str),
 }
 
 impl<'a> ParsedKey<'a> {
-    /// Tells minted keys from those of the caller's own making.
+    /// Distinguishes minted keys from caller-supplied ones.
     ///
     /// # Errors
     ///
-    /// `Malformed` for a text that begins like a minted key and is none; `Empty`, `TooLong` or
-    /// `NotVisibleAscii` for a text that no caller may use.
+    /// `Malformed` for an invalid text with the prefix of minted keys; `Empty`, `TooLong` or
+    /// `NotVisibleAscii` for a text that is not allowed as a caller-supplied key.
     pub fn parse(text: &'a str) -> Result<Self, KeyTextError> {
         if text.starts_with(MINTED_PREFIX) {
             return text.parse().map(Self::Minted);
@@ -176,24 +177,24 @@
     /// The key is longer than `FOREIGN_MAX_BYTES`.
     #[error("an idempotency key has at most {FOREIGN_MAX_BYTES} characters")]
     TooLong,
-    /// The key holds a space, a control character or something beyond ASCII.
+    /// The key contains a space, a control character or a non-ASCII character.
     #[error("an idempotency key consists of visible ASCII characters")]
     NotVisibleAscii,
-    /// The text does not begin like a minted key.
+    /// The text does not have the prefix of minted keys.
     #[error("a minted key begins with {MINTED_PREFIX}")]
     NotMinted,
-    /// The text begins like a minted key, and the rest is not one.
+    /// The text after the prefix of minted keys is not a valid key.
     #[error("the text after {MINTED_PREFIX} is not a whole key")]
     Malformed,
 }
 
-/// The key of the table row that binds a caller's own key for `service` to a minted key.
+/// The key of the table row that binds a caller-supplied key for `service` to a minted key.
 ///
-/// The hash makes the row's key safe and short whatever the caller chose, and the length in front
-/// of the service keeps (`ab`, `c`) apart from (`a`, `bc`).
+/// Hashing gives a short row key with safe characters, whatever the caller chose. The length prefix
+/// of the service distinguishes (`ab`, `c`) from (`a`, `bc`).
 pub fn claim_row_key(service: &str, foreign: &str) -> String {
     let hash = Sha256::new()
-        .chain_update(CLAIM_DOMAIN)
+        .chain_update(CLAIM_HASH_DOMAIN)
         .chain_update((service.len() as u64).to_be_bytes())
         .chain_update(service)
         .chain_update(foreign)
--- a/src/call/level.rs
+++ b/src/call/level.rs
@@ -1,21 +1,21 @@
-//! Priority of a call: its class first, then its root.
+//! Priority of a call: by its class first, then by a hash of its root request.
 
 use serde::{Deserialize, Serialize};
 
 use super::id::RootId;
 
-/// The rank of a class in the settings; the lowest rank is shed first.
+/// The rank of a class, as set in the settings. The lowest rank is shed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClassRank(pub u8);
 
-/// The number of a policy arm in the settings.
+/// The id of a policy arm, as set in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ArmId(pub u8);
 
 /// The order in which calls are shed: a call whose level is below a node's floor is refused.
 ///
-/// The high byte is the class rank, the low byte a hash of the root, so that every hop of one root
-/// carries the same level and meets the same fate (after DAGOR, SoCC 2018).
+/// The high byte is the class rank, the low byte a hash of the root request, so that all hops of a
+/// root have the same level and are admitted or refused alike (as in DAGOR, SoCC 2018).
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -29,17 +29,17 @@
 
     /// The level of every hop of `root` in the class of rank `class`.
     pub fn new(class: ClassRank, root: RootId) -> Self {
-        Self(u16::from(class.0) << 8 | u16::from(spread(root)))
+        Self(u16::from(class.0) << 8 | u16::from(hash_byte(root)))
     }
 
-    /// The class rank that the level was made from.
+    /// The class rank of the level.
     pub fn class(self) -> ClassRank {
         ClassRank((self.0 >> 8) as u8)
     }
 }
 
-/// Mixes all bits of the root into one byte.
-fn spread(root: RootId) -> u8 {
+/// Hashes all bits of the root id into one byte.
+fn hash_byte(root: RootId) -> u8 {
     const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
     let folded = (root.0 as u64) ^ ((root.0 >> 64) as u64);
     (folded.wrapping_mul(MULTIPLIER) >> 56) as u8
--- a/src/call/mod.rs
+++ b/src/call/mod.rs
@@ -1,4 +1,4 @@
-//! The vocabulary of a call: identifiers, priority, verdicts and the frames nodes exchange.
+//! Types of a call: identifiers, priorities, verdicts, and the messages that nodes exchange.
 //!
 //! Nothing here does I/O or reads a clock.
 
--- a/src/call/trace.rs
+++ b/src/call/trace.rs
@@ -1,12 +1,12 @@
-//! The text form of a trace context (W3C Trace Context, version 00).
+//! Parses and formats trace contexts (W3C Trace Context, version 00).
 
 use super::frame::TraceContext;
 
-/// The flag of a trace whose spans are recorded.
+/// The flag of a sampled trace, whose spans are recorded.
 const SAMPLED_FLAG: u8 = 1;
 
 impl TraceContext {
-    /// Reads a `traceparent` header, or none where it is malformed.
+    /// Parses a `traceparent` header; `None` if it is malformed.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.trim().split('-');
         let (version, trace_id) = (parts.next()?, parts.next()?);
@@ -14,10 +14,10 @@
         if version == "ff" || (version == "00" && parts.next().is_some()) {
             return None;
         }
-        u8::from_str_radix(hex(version, 2)?, 16).ok()?;
-        let trace_id = u128::from_str_radix(hex(trace_id, 32)?, 16).ok()?;
-        let parent_span_id = u64::from_str_radix(hex(span_id, 16)?, 16).ok()?;
-        let flags = u8::from_str_radix(hex(flags, 2)?, 16).ok()?;
+        u8::from_str_radix(lower_hex(version, 2)?, 16).ok()?;
+        let trace_id = u128::from_str_radix(lower_hex(trace_id, 32)?, 16).ok()?;
+        let parent_span_id = u64::from_str_radix(lower_hex(span_id, 16)?, 16).ok()?;
+        let flags = u8::from_str_radix(lower_hex(flags, 2)?, 16).ok()?;
         if trace_id == 0 || parent_span_id == 0 {
             return None;
         }
@@ -31,9 +31,9 @@
     }
 }
 
-/// The text, if it is `digits` lower-case hexadecimal digits.
-fn hex(text: &str, digits: usize) -> Option<&str> {
-    let fits = text.len() == digits;
-    let lower = text.bytes().all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
-    (fits && lower).then_some(text)
+/// The text, if it consists of exactly `digits` lower-case hexadecimal digits.
+fn lower_hex(text: &str, digits: usize) -> Option<&str> {
+    let has_length = text.len() == digits;
+    let is_lower_hex = text.bytes().all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
+    (has_length && is_lower_hex).then_some(text)
 }
--- a/src/call/verdict.rs
+++ b/src/call/verdict.rs
@@ -1,103 +1,103 @@
-//! What became of an attempt, and above all whether it may have run.
+//! Outcomes of attempts, in particular whether an attempt may have run.
 
 use serde::{Deserialize, Serialize};
 
 use super::frame::HttpAnswer;
 use super::id::NodeId;
 
-/// The outcome of one attempt, or of a whole request.
+/// The outcome of one attempt, or of a root request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// The target ran the request, and this is its whole answer.
+    /// The target ran the request; this is its complete answer.
     Answered(HttpAnswer),
-    /// The target did not run the request and never will run this attempt.
+    /// The target did not run the request and will never run this attempt.
     NotRun(Refusal),
-    /// Nobody can say whether the target ran the request.
+    /// It is unknown whether the target ran the request.
     MayHaveRun(Doubt),
 }
 
 impl Verdict {
-    /// A refusal with the time after which asking again makes sense.
+    /// A refusal with the time after which the caller may retry.
     pub fn not_run(reason: RefusalReason, retry_after_ms: u32) -> Self {
         Self::NotRun(Refusal { reason, retry_after_ms })
     }
 
-    /// Whether the request certainly did not run.
+    /// Whether it is certain that the request did not run.
     pub fn is_not_run(&self) -> bool {
         matches!(self, Self::NotRun(_))
     }
 }
 
-/// A truthful "not run", with its reason.
+/// The statement that an attempt did not run, with its reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     /// Why it was not run.
     pub reason: RefusalReason,
-    /// When the caller should come back, in milliseconds from now; 0 where waiting does not help.
+    /// How long the caller should wait before a retry, in milliseconds; 0 if waiting does not help.
     pub retry_after_ms: u32,
 }
 
 /// Why an attempt was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// The call's level is below the floor of the receiving node or of one further down.
+    /// The call's level is below the floor of the receiving node or of a downstream one.
     Shed,
-    /// The receiving node's queue was full, or the call was pushed out by a more important one.
+    /// The receiving node's queue was full, or a call of higher priority evicted this one.
     QueueFull,
-    /// The deadline passed, or could not be met any more, before the target began.
+    /// The deadline passed, or could no longer be met, before the target began.
     Expired,
-    /// The receiving node is leaving and takes no new work.
+    /// The receiving node is draining and accepts no new calls.
     Leaving,
-    /// The receiving node is not ready yet: it does not know its configuration or has no target.
+    /// The receiving node is not ready yet: it has no configuration or no target.
     NotReady,
-    /// No node of the service is known, or all of them are unfit.
+    /// No node of the service is known, or none of them is eligible.
     NoTarget,
     /// The target itself declared that it did not run the request.
     TargetDeclined,
-    /// The target could not be reached: no connection was made, so nothing was sent.
+    /// The target could not be reached: no connection was established, so nothing was sent.
     TargetUnreachable,
     /// The attempt was fenced before it arrived.
     Fenced,
-    /// The caller, or the call it belonged to, gave up before the target began.
+    /// The caller, or the parent call, cancelled it before the target began.
     Cancelled,
-    /// The node's own rings or memory were full.
+    /// The node's ring buffers or memory were full.
     NodeFull,
-    /// The owner of the idempotency key has handed the key to another node for ever.
+    /// The owner of the idempotency key has permanently delegated the key to the given node.
     KeyDelegated(NodeId),
-    /// The platform's table service, needed to claim a key of the caller's own making, is away.
+    /// The table service, needed to claim a caller-supplied key, is unavailable.
     KeyUnclaimed,
     /// The key is malformed or was minted in the future.
     KeyInvalid,
     /// The request is malformed or names an unknown service.
     Malformed,
-    /// The owner of the idempotency key has left, and this node holds its keys unchanged.
+    /// The owner of the idempotency key has left; the given node has taken over its keys unchanged.
     KeyInherited(NodeId),
-    /// The idempotency key was used before for a different request.
+    /// The idempotency key was already used for a different request.
     KeyMismatch,
 }
 
-/// Why nobody can say whether an attempt ran.
+/// Why it is unknown whether an attempt ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Doubt {
     /// No answer came before the deadline.
     Timeout,
-    /// The connection to the receiving node was lost, and it could not be asked afterwards.
+    /// The connection to the receiving node was lost, and it could not be queried afterwards.
     ConnectionLost,
-    /// The target broke off in the middle of the exchange.
+    /// The target broke the exchange off before its answer was complete.
     TargetBroke,
-    /// The target's answer was longer than is allowed.
+    /// The target's answer exceeded the size limit.
     AnswerTooLong,
     /// The node that owned the idempotency key is gone.
     KeyOwnerGone,
-    /// The idempotency key is older than its owner remembers.
+    /// The idempotency key is older than the owner's records.
     KeyExpired,
     /// A request with the same idempotency key is still running.
     KeyRunning,
     /// The call was cancelled while the target was running it.
     Cancelled,
-    /// It was settled earlier, and the node no longer holds the answer.
+    /// The attempt was settled earlier, and the node has since dropped the answer.
     AnswerForgotten,
-    /// The node asked does not own the idempotency key and cannot tell what its owner did.
+    /// The queried node does not own the idempotency key and does not know what the owner did.
     KeyElsewhere,
 }
 
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The bytes of messages.
+//! Tests of the binary encoding of messages.
 
 use aspenspring::call::codec::{CodecError, VERSION, decode, encode};
 use aspenspring::call::{
@@ -9,10 +9,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The longest body in these tests.
+/// The body limit in these tests.
 const BODY_MAX_BYTES: usize = 256;
 
-/// A fixed seed, so that every run tries the same cases.
+/// The fixed seed makes every run try the same cases.
 fn config() -> ProptestConfig {
     ProptestConfig {
         cases: 512,
@@ -107,9 +107,9 @@
         asked: attempt.origin,
         remaining_us,
     });
-    let ask = (any::<u128>(), attempt())
+    let ask_retry = (any::<u128>(), attempt())
         .prop_map(|(root, failed)| Message::AskRetry { root: RootId(root), failed });
-    let grant = (attempt(), any::<bool>())
+    let retry_grant = (attempt(), any::<bool>())
         .prop_map(|(failed, granted)| Message::RetryGrant { failed, granted });
     let ping = any::<(u64, u64)>()
         .prop_map(|(from, sequence)| Message::Ping { from: NodeId(from), sequence });
@@ -123,8 +123,8 @@
         answer,
         attempt().prop_map(Message::Cancel),
         fence,
-        ask,
-        grant,
+        ask_retry,
+        retry_grant,
         body().prop_map(Message::Gossip),
         ping,
         pong,
@@ -143,8 +143,8 @@
     #[test]
     fn a_frame_cut_anywhere_is_refused(message in message(), cut in any::<prop::sample::Index>()) {
         let frame = encode(&message, BODY_MAX_BYTES).expect("the body is short enough");
-        let kept = cut.index(frame.len());
-        prop_assert!(decode(&frame[..kept], BODY_MAX_BYTES).is_err());
+        let cut_length = cut.index(frame.len());
+        prop_assert!(decode(&frame[..cut_length], BODY_MAX_BYTES).is_err());
     }
 
     #[test]
@@ -168,9 +168,9 @@
         let mut versioned = vec![VERSION];
         versioned.extend(&frame);
         if let Ok(message) = decode(&versioned, BODY_MAX_BYTES) {
-            // Some garbage is a message by chance; then it must be one that can be sent on.
-            let again = encode(&message, BODY_MAX_BYTES).expect("it was checked when decoded");
-            prop_assert_eq!(decode(&again, BODY_MAX_BYTES), Ok(message));
+            // Random bytes may form a valid message, which must then survive a round trip.
+            let reencoded = encode(&message, BODY_MAX_BYTES).expect("decode checked the length");
+            prop_assert_eq!(decode(&reencoded, BODY_MAX_BYTES), Ok(message));
         }
     }
 }
