--- a/src/event.rs
+++ b/src/event.rs
@@ -3,7 +3,7 @@
 //! The number of an event is never reused; `docs/EVENTS.md` lists all events for operators.
 
 mod field;
-mod flood;
+mod limiter;
 mod log;
 
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use self::field::ToLog;
 use crate::call::{ArmId, AttemptId, ClassRank, Key, Level, NodeId, RootId};
 
-pub use self::flood::{FloodGate, REQUESTS_PER_WINDOW};
+pub use self::limiter::{EventLimiter, REQUESTS_PER_WINDOW};
 pub use self::log::EventLog;
 
 /// The catalogue entry of one kind of event.
--- a/src/event/flood.rs
+++ b/src/event/limiter.rs
@@ -17,7 +17,7 @@
 
 /// Writes each kind of event up to a limit per window, and counts the events beyond it.
 #[derive(Debug)]
-pub struct FloodGate {
+pub struct EventLimiter {
     /// Limit per window for each event about a single request.
     request_events_max: u32,
     windows: Vec<Mutex<Window>>,
@@ -34,14 +34,14 @@
     suppressed: u64,
 }
 
-impl Default for FloodGate {
+impl Default for EventLimiter {
     fn default() -> Self {
         Self::new(REQUESTS_PER_WINDOW)
     }
 }
 
-impl FloodGate {
-    /// A gate that writes each event about a single request up to `request_events_max` times per
+impl EventLimiter {
+    /// A limiter that writes each event about a single request up to `request_events_max` times per
     /// window.
     pub fn new(request_events_max: u32) -> Self {
         let windows = EVENT_KINDS.iter().map(|_| Mutex::default()).collect();
--- a/src/event/log.rs
+++ b/src/event/log.rs
@@ -5,7 +5,7 @@
 
 use slog::{BorrowedKV, Drain, KV, Logger, Record, RecordLocation, RecordStatic};
 
-use super::{FloodGate, LogEvent};
+use super::{EventLimiter, LogEvent};
 use crate::clock::Clock;
 
 /// Handle for emitting events. Cheap to clone; never blocks.
@@ -18,20 +18,20 @@
 struct Shared {
     logger: Logger,
     clock: Clock,
-    gate: FloodGate,
+    limiter: EventLimiter,
     suppressed: AtomicU64,
 }
 
 impl EventLog {
     /// Writes through `logger`.
     pub fn new(logger: Logger, clock: Clock) -> Self {
-        Self::with_gate(logger, clock, FloodGate::default())
+        Self::with_limiter(logger, clock, EventLimiter::default())
     }
 
-    /// Writes the events that `gate` admits through `logger`.
-    pub fn with_gate(logger: Logger, clock: Clock, gate: FloodGate) -> Self {
+    /// Writes the events that `limiter` admits through `logger`.
+    pub fn with_limiter(logger: Logger, clock: Clock, limiter: EventLimiter) -> Self {
         let suppressed = AtomicU64::new(0);
-        Self { shared: Arc::new(Shared { logger, clock, gate, suppressed }) }
+        Self { shared: Arc::new(Shared { logger, clock, limiter, suppressed }) }
     }
 
     /// Writes nothing; for tests and tools.
@@ -47,7 +47,7 @@
         if !Drain::is_enabled(&self.shared.logger, kind.severity) {
             return;
         }
-        let Some(suppressed) = self.shared.gate.admit(event, self.shared.clock.now_us()) else {
+        let Some(suppressed) = self.shared.limiter.admit(event, self.shared.clock.now_us()) else {
             self.shared.suppressed.fetch_add(1, Ordering::Relaxed);
             return;
         };
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::Clock;
 use crate::config::TelemetrySettings;
-use crate::event::{EventLog, FloodGate, LogEvent};
+use crate::event::{EventLimiter, EventLog, LogEvent};
 use crate::logging::Logging;
 use crate::mesh::launch;
 use crate::mesh::node::Node;
@@ -63,8 +63,8 @@
 async fn run_node(path: PathBuf, settings: PlatformSettings) -> eyre::Result<()> {
     let PlatformSettings { mesh, store } = settings;
     let logging = Logging::start(&TelemetrySettings::default(), std::io::stdout())?;
-    let gate = FloodGate::new(mesh.log.request_lines_max);
-    let log = EventLog::with_gate(logging.logger.clone(), Clock::start(), gate);
+    let limiter = EventLimiter::new(mesh.log.request_lines_max);
+    let log = EventLog::with_limiter(logging.logger.clone(), Clock::start(), limiter);
     log.emit(&LogEvent::MeshStarted {
         node_name: mesh.node.name.clone(),
         failure_domain: mesh.node.failure_domain.clone(),
--- a/tests/telemetry_events.rs
+++ b/tests/telemetry_events.rs
@@ -6,7 +6,7 @@
 use aspenspring::call::{ArmId, ClassRank, Level};
 use aspenspring::clock::{Clock, US_PER_S};
 use aspenspring::config::TelemetrySettings;
-use aspenspring::event::{EVENT_KINDS, EventLog, FloodGate, LogEvent};
+use aspenspring::event::{EVENT_KINDS, EventLimiter, EventLog, LogEvent};
 use aspenspring::logging::{LINES_WAITING_MAX, Logging, LoggingError, severity_name};
 
 /// Collects the bytes that are written. While it is blocked, writes wait.
@@ -131,17 +131,17 @@
 
 #[test]
 fn floods_are_cut_per_kind_and_counted() {
-    let gate = FloodGate::default();
+    let limiter = EventLimiter::default();
     let repeated = overload();
     let mut admitted = 0;
     for now_us in 0..100 {
-        admitted += u32::from(gate.admit(&repeated, now_us).is_some());
+        admitted += u32::from(limiter.admit(&repeated, now_us).is_some());
     }
     assert_eq!(admitted, 20);
     let other = LogEvent::LeavingFinished { took_ms: 1, cut_off: 0 };
-    assert_eq!(gate.admit(&other, 100), Some(0));
-    assert_eq!(gate.admit(&repeated, 10 * US_PER_S), Some(80));
-    assert_eq!(gate.admit(&repeated, 10 * US_PER_S + 1), Some(0));
+    assert_eq!(limiter.admit(&other, 100), Some(0));
+    assert_eq!(limiter.admit(&repeated, 10 * US_PER_S), Some(80));
+    assert_eq!(limiter.admit(&repeated, 10 * US_PER_S + 1), Some(0));
 }
 
 #[test]
