--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,6 @@
-//! Settings: one base file, overlays that change only what differs, one file per section.
+//! Settings, read from a base file and overlays that hold only the differences.
+//!
+//! Each section of the settings has a module of its own.
 
 pub mod arm;
 mod check;
@@ -43,41 +45,41 @@
 pub use telemetry::TelemetrySettings;
 pub use tree::Origin;
 
-/// Everything one node reads at its start: what all nodes of a site share, and what is its own.
+/// All settings that a node reads at startup: those shared by the site and its own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// The name of the site.
     #[schemars(extend("format" = "name"))]
     pub site: String,
-    /// What this node alone is told.
+    /// Settings of this node only.
     pub node: NodeSettings,
-    /// Where the platform's services are.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// Logs, metrics and traces.
+    /// Settings for logs and traces.
     #[serde(default)]
     pub telemetry: TelemetrySettings,
-    /// What may be changed while the site runs.
+    /// The rules, which can be changed while the site runs.
     pub rules: Rules,
 }
 
-/// The part of the settings that is submitted, accepted and spread while the site runs.
+/// The part of the settings that operators submit and nodes distribute while the site runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// Classes of calls, in any order; their ranks decide which is shed first.
+    /// Classes of calls, in any order; their ranks set the order of shedding.
     #[schemars(length(min = 1))]
     pub classes: Vec<ClassSettings>,
-    /// Which calls belong to which class; the first route that fits decides.
+    /// Assignment of calls to classes; the first matching route applies.
     #[schemars(length(min = 1))]
     pub routes: Vec<RouteSettings>,
     /// The services of the site.
     #[schemars(length(min = 1))]
     pub services: Vec<ServiceSettings>,
-    /// The policies that run side by side.
+    /// The arms, each of which runs a policy on a share of root requests.
     #[schemars(length(min = 1))]
     pub arms: Vec<ArmSettings>,
-    /// The policies the arms refer to.
+    /// The policies that arms refer to.
     #[schemars(length(min = 1))]
     pub policies: Vec<PolicySettings>,
 }
--- a/src/config/node.rs
+++ b/src/config/node.rs
@@ -1,64 +1,64 @@
-//! What one node alone is told: its addresses, its place and its limits.
+//! Settings of a single node: its addresses, location and limits.
 
 use std::net::SocketAddr;
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Addresses, place and limits of one node.
+/// Addresses, location and limits of one node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// A name that stays the same over restarts.
+    /// The node's name, which stays the same across restarts.
     #[schemars(extend("format" = "name"))]
     pub name: String,
-    /// The failure domain the VM stands in.
+    /// The failure domain of the VM.
     #[schemars(extend("format" = "name"))]
     pub failure_domain: String,
-    /// The service whose target stands beside this node.
+    /// The service of the node's local target.
     #[schemars(extend("format" = "name"))]
     pub service: String,
-    /// Where outside callers come in.
+    /// The address that external callers connect to.
     #[schemars(extend("format" = "ip-port"))]
     pub caller_listen: SocketAddr,
-    /// Where the target beside this node announces itself and sends its own calls; loopback only.
+    /// The address where the local target announces itself and sends its own calls; loopback only.
     #[schemars(extend("format" = "ip-port"))]
     pub target_listen: SocketAddr,
-    /// Where other nodes connect.
+    /// The address that other nodes connect to.
     #[schemars(extend("format" = "ip-port"))]
     pub peer_listen: SocketAddr,
-    /// Where operators and the collector of metrics connect.
+    /// The address that operators and the metrics collector connect to.
     #[schemars(extend("format" = "ip-port"))]
     pub operator_listen: SocketAddr,
-    /// Peer addresses to ask when the table service is away at the start.
+    /// Peer addresses to ask if the table service is unavailable at startup.
     #[serde(default)]
     #[schemars(extend("items" = { "type": "string", "format": "ip-port" }))]
     pub seeds: Vec<SocketAddr>,
-    /// The environment variable that holds the operators' key.
+    /// The environment variable that holds the operator key.
     #[serde(default = "default_operator_key_env")]
     #[schemars(extend("format" = "env-name"))]
     pub operator_key_env: String,
-    /// The longest body of a request or an answer, in bytes.
+    /// The maximum size of a request or response body, in bytes.
     #[serde(default = "default_body_max_bytes")]
     #[schemars(range(min = 1))]
     pub body_max_bytes: usize,
-    /// The most bytes of bodies that may be held at once.
+    /// The maximum total size of the bodies held at once, in bytes.
     #[serde(default = "default_bodies_max_bytes")]
     #[schemars(range(min = 1))]
     pub bodies_max_bytes: usize,
-    /// How long a caller may take to send its request.
+    /// The time limit for a caller to send its request, in milliseconds.
     #[serde(default = "default_request_read_ms")]
     #[schemars(range(min = 1))]
     pub request_read_ms: u64,
-    /// How many entries a ring between two threads holds.
+    /// The capacity of each ring buffer between two threads, in entries.
     #[serde(default = "default_ring_entries")]
     #[schemars(range(min = 16, max = 1048576))]
     pub ring_entries: usize,
-    /// Worker threads of the HTTP listeners.
+    /// The number of worker threads of the HTTP listeners.
     #[serde(default = "default_http_workers")]
     #[schemars(range(min = 1, max = 64))]
     pub http_workers: usize,
-    /// How long the node keeps refusing new work while it leaves, before it may exit.
+    /// How long a leaving node refuses new work before it may exit, in milliseconds.
     #[serde(default = "default_leave_ms")]
     pub leave_ms: u64,
 }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,27 +1,28 @@
-//! Where the platform's table service and object store are.
+//! Addresses and timing of the platform's table service and object store.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Addresses of the platform's services and how they are used.
+/// Addresses of the platform's services, and how the node uses them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// The table service's base URL.
+    /// The base URL of the table service.
     #[schemars(extend("format" = "http-url"))]
     pub table_url: String,
-    /// The object store's base URL.
+    /// The base URL of the object store.
     #[schemars(extend("format" = "http-url"))]
     pub objects_url: String,
-    /// How long to wait for one answer of either.
+    /// The time-out of a request to either service, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     #[schemars(range(min = 1))]
     pub timeout_ms: u64,
-    /// How often the node reads the configuration's version and the lists of services it calls.
+    /// The interval at which the node reads the configuration version and the member lists of the
+    /// services it calls, in milliseconds.
     #[serde(default = "default_poll_ms")]
     #[schemars(range(min = 100))]
     pub poll_ms: u64,
-    /// How often the node writes its own row.
+    /// The interval at which the node writes its own row, in milliseconds.
     #[serde(default = "default_announce_ms")]
     #[schemars(range(min = 100))]
     pub announce_ms: u64,
--- a/src/config/policy.rs
+++ b/src/config/policy.rs
@@ -3,16 +3,16 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// One policy, complete.
+/// One complete policy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct PolicySettings {
-    /// The name arms refer to.
+    /// The policy name that arms refer to.
     #[schemars(extend("format" = "name"))]
     pub name: String,
-    /// How many calls a target may run at once.
+    /// The concurrency limit of a target.
     pub limit: LimitRule,
-    /// The longest queue beside a target, as a share of its limit.
+    /// The maximum length of a target's queue, as a share of its limit.
     #[serde(default = "default_queue_share")]
     #[schemars(range(min = 0.0, max = 100.0))]
     pub queue_share: f64,
@@ -20,85 +20,85 @@
     #[serde(default = "default_queue_delay_ms")]
     #[schemars(range(min = 1))]
     pub queue_delay_ms: u64,
-    /// Whether the queue is ordered by level; otherwise first come, first served.
+    /// Whether the queue is ordered by level; first in, first out otherwise.
     #[serde(default = "default_true")]
     pub order_by_level: bool,
-    /// Whether calls below a floor are refused, and the floor travels upstream.
+    /// Whether calls below an admission floor are refused and the floor is reported upstream.
     #[serde(default = "default_true")]
     pub refuse_early: bool,
-    /// How retries are made.
+    /// The retry rule.
     pub retry: RetryRule,
-    /// How a target is chosen.
+    /// The load-balancing rule.
     pub choice: TargetChoice,
 }
 
-/// How many calls a target may run at once.
+/// The concurrency limit of a target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum LimitRule {
-    /// As many as come.
+    /// No limit.
     None,
-    /// The target's announced slots, or the number given.
+    /// A fixed limit: the given number, or the slots that the target announced.
     Static {
-        /// Calls at once for one target; its slots where absent.
+        /// Concurrent calls of one target; its announced slots if absent.
         #[serde(default)]
         #[schemars(range(min = 1))]
         running: Option<u32>,
     },
-    /// Follows the ratio of unloaded to present latency.
+    /// Follows the ratio of unloaded latency to current latency.
     Gradient {
-        /// The ratio of latency that is still taken as unloaded, above 1.
+        /// The latency ratio up to which a target counts as unloaded, above 1.
         #[schemars(extend("exclusiveMinimum" = 1.0))]
         tolerance: f64,
-        /// How strongly one window moves the limit, from 0 to 1.
+        /// The weight of one window's result in the new limit, from 0 to 1.
         #[schemars(range(max = 1.0), extend("exclusiveMinimum" = 0.0))]
         smoothing: f64,
     },
-    /// Grows by steps while answers are fast and shrinks by a factor when they are slow.
+    /// Additive increase while latency is low, multiplicative decrease when it is high.
     Delay {
-        /// The rise of latency over the unloaded latency that counts as too slow, above 1.
+        /// The ratio of current to unloaded latency above which the limit shrinks, above 1.
         #[schemars(extend("exclusiveMinimum" = 1.0))]
         tolerance: f64,
-        /// The factor by which the limit shrinks, from 0 to 1.
+        /// The factor that the limit is multiplied by when it shrinks, from 0 to 1.
         #[schemars(extend("exclusiveMinimum" = 0.0, "exclusiveMaximum" = 1.0))]
         backoff: f64,
     },
 }
 
-/// How retries are made.
+/// How failed attempts are retried.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum RetryRule {
-    /// Never.
+    /// No retries.
     None,
-    /// A fixed number at every hop, whatever the hops above and below do.
+    /// A fixed number at every hop, regardless of other hops.
     Naive {
-        /// Retries of each hop.
+        /// Retries per hop.
         retries: u8,
     },
-    /// Bounded over the whole chain by an allowance of the root and on each node by a budget.
+    /// Bounded over the whole call chain by a root allowance, and on each node by a retry budget.
     Bounded {
-        /// Extra attempts for one root over all hops.
+        /// Extra attempts per root request over all hops.
         allowance: u8,
-        /// Extra attempts of a node as a share of its recent successes.
+        /// Extra attempts of a node, as a share of its recent successes.
         #[schemars(range(min = 0.0, max = 1.0))]
         budget_share: f64,
-        /// The least backoff, in milliseconds.
+        /// The minimum backoff, in milliseconds.
         #[schemars(range(min = 1))]
         backoff_ms: u64,
-        /// The longest backoff, in milliseconds.
+        /// The maximum backoff, in milliseconds.
         #[schemars(range(min = 1))]
         backoff_max_ms: u64,
     },
 }
 
-/// How a target is chosen.
+/// How a target is chosen for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetChoice {
-    /// One after the other.
+    /// Each target in turn.
     RoundRobin,
-    /// The better of two, by reported and observed load, near ones first.
+    /// The less loaded of two candidates, by reported and observed load, near ones first.
     LeastLoaded,
 }
 
--- a/src/config/route.rs
+++ b/src/config/route.rs
@@ -1,24 +1,24 @@
-//! Which calls belong to which class.
+//! Routes, which assign calls to classes.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// One rule that gives calls a class.
+/// A rule that assigns matching calls to a class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct RouteSettings {
-    /// The service the call is for.
+    /// The service that is called.
     #[schemars(extend("format" = "name"))]
     pub service: String,
-    /// The method, or any where absent.
+    /// The HTTP method; any method if absent.
     #[serde(default)]
     #[schemars(extend("format" = "method"))]
     pub method: Option<String>,
-    /// What the path begins with.
+    /// The prefix of the path, matched by whole segments.
     #[serde(default = "default_path_prefix")]
     #[schemars(extend("format" = "path-prefix"))]
     pub path_prefix: String,
-    /// The class of calls that fit.
+    /// The class of matching calls.
     #[schemars(extend("format" = "name"))]
     pub class: String,
 }
--- a/src/config/service.rs
+++ b/src/config/service.rs
@@ -1,4 +1,4 @@
-//! The services of a site.
+//! Services of a site: their targets and the services that they call.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -7,23 +7,23 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSettings {
-    /// The name in paths and rows.
+    /// The service name in paths and table rows.
     #[schemars(extend("format" = "name"))]
     pub name: String,
-    /// How many targets are expected; for checks and reports only.
+    /// The expected number of targets; for checks and reports only.
     #[serde(default)]
     pub targets: u32,
-    /// How many calls one target can run at once.
+    /// The number of calls that one target can run at once.
     #[schemars(range(min = 1))]
     pub slots: u32,
-    /// How many connections one target accepts.
+    /// The number of connections that one target accepts.
     #[schemars(range(min = 1))]
     pub connections: u32,
     /// The services that its targets call.
     #[serde(default)]
     #[schemars(extend("items" = { "type": "string", "format": "name" }))]
     pub calls: Vec<String>,
-    /// How long a target that has just come up is given less than its share, in milliseconds.
+    /// How long a newly started target receives less than its share of calls, in milliseconds.
     #[serde(default = "default_warm_up_ms")]
     pub warm_up_ms: u64,
 }
--- a/src/config/site.rs
+++ b/src/config/site.rs
@@ -1,23 +1,23 @@
-//! What the files of a site say, without those of a node.
+//! Settings of a site without a node's own settings.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
 use super::{PlatformSettings, Rules, TelemetrySettings};
 
-/// The settings that all nodes of a site share. They cannot run a node.
+/// The settings that all nodes of a site share. They are not enough to run a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SiteSettings {
     /// The name of the site.
     pub site: String,
-    /// What all nodes are told, as far as the files of the site say it.
+    /// Node settings that the site's files set for all nodes.
     #[serde(default)]
     pub node: Map<String, Value>,
-    /// Where the platform's services are.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// Logs, metrics and traces.
+    /// Settings for logs and traces.
     #[serde(default)]
     pub telemetry: TelemetrySettings,
-    /// What may be changed while the site runs.
+    /// The rules, which can be changed while the site runs.
     pub rules: Rules,
 }
--- a/src/config/telemetry.rs
+++ b/src/config/telemetry.rs
@@ -1,19 +1,19 @@
-//! Logs and traces.
+//! Settings for logs and traces.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Where logs and traces go, and how many.
+/// Log level, and destination and sampling of traces.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct TelemetrySettings {
-    /// The least severe level that is logged: `error`, `warning`, `info` or `debug`.
+    /// The minimum severity that is logged: `error`, `warning`, `info` or `debug`.
     #[schemars(extend("enum" = ["error", "warning", "info", "debug"]))]
     pub log_level: String,
-    /// Where spans are sent by OTLP over HTTP; none are made where this is absent.
+    /// The OTLP/HTTP endpoint for spans; no spans are recorded if absent.
     #[schemars(extend("format" = "http-url"))]
     pub otlp_url: Option<String>,
-    /// The share of roots whose spans are recorded, from 0 to 1.
+    /// The share of root requests whose spans are recorded, from 0 to 1.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub sample_share: f64,
 }
