--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -1,29 +1,31 @@
-//! Contradictions between rules that are each well formed.
+//! Consistency checks between rules that are each well formed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::draft::{Listed, RulesDraft};
-use super::lookup::is_below;
+use super::lookup::has_path_prefix;
+use super::partial::{PartialList, PartialRules};
 use super::problem::Finding;
 use super::{ClassSettings, RetryRule, RouteSettings, ServiceSettings};
 
-/// How far the arms' shares may add up to something other than 1, for want of exact fractions.
+/// How far the sum of the arms' shares may differ from 1, because of floating-point rounding.
 const SHARE_TOLERANCE: f64 = 1e-6;
-/// Every contradiction in the rules. Pointers begin at the rules.
-pub(super) fn check_rules(rules: &RulesDraft) -> Vec<Finding> {
+
+/// Every inconsistency in the rules. Pointers are relative to the rules.
+pub(super) fn check_rules(rules: &PartialRules) -> Vec<Finding> {
     let mut findings = Vec::new();
     check_classes(rules, &mut findings);
     check_routes(rules, &mut findings);
     check_services(rules, &mut findings);
     check_calls(&rules.services, &mut findings);
     check_arms(rules, &mut findings);
-    check_slots_of_arms(rules, &mut findings);
+    check_arm_slots(rules, &mut findings);
     check_policies(rules, &mut findings);
     findings
 }
 
-/// Names and ranks are unique, deadlines fit, and the reserved shares leave something over.
-fn check_classes(rules: &RulesDraft, findings: &mut Vec<Finding>) {
+/// Checks that names and ranks are unique, that default deadlines are not above the maximum, that
+/// each class has a route, and that the reserved shares leave room for the lowest class.
+fn check_classes(rules: &PartialRules, findings: &mut Vec<Finding>) {
     let classes = &rules.classes;
     let names = classes.items.iter().map(|(index, class)| (*index, class.name.clone()));
     check_unique("/classes", "name", names, findings);
@@ -38,16 +40,16 @@
             ));
         }
         let is_mapped = rules.routes.items.iter().any(|(_, route)| route.class == class.name);
-        if rules.routes.is_whole && !is_mapped {
-            let accepted = "a class that at least one route gives";
-            let found = format!("\"{}\", which no route gives", class.name);
+        if rules.routes.is_complete && !is_mapped {
+            let accepted = "a class that at least one route assigns";
+            let found = format!("\"{}\", which no route assigns", class.name);
             findings.push(Finding::new(format!("/classes/{index}/name"), found, accepted));
         }
     }
     check_reserved_shares(&classes.items, findings);
 }
 
-/// The reserved shares of all classes but the lowest leave that one something.
+/// Checks that the reserved shares of the other classes leave room for the lowest class.
 fn check_reserved_shares(classes: &[(usize, ClassSettings)], findings: &mut Vec<Finding>) {
     let Some(lowest) = classes.iter().map(|(_, class)| class.rank).min() else {
         return;
@@ -71,43 +73,45 @@
     }
 }
 
-/// Routes name known services and classes, and each of them can be reached.
-fn check_routes(rules: &RulesDraft, findings: &mut Vec<Finding>) {
+/// Checks that routes name known services and classes, and that no route is shadowed by an earlier
+/// one.
+fn check_routes(rules: &PartialRules, findings: &mut Vec<Finding>) {
     for (index, route) in &rules.routes.items {
         if rules.services.lacks(&route.service) {
             let pointer = format!("/routes/{index}/service");
-            findings.push(unknown(&pointer, &route.service, &rules.services.names()));
+            findings.push(unknown_name(&pointer, &route.service, &rules.services.names()));
         }
         if rules.classes.lacks(&route.class) {
             let pointer = format!("/routes/{index}/class");
-            findings.push(unknown(&pointer, &route.class, &rules.classes.names()));
+            findings.push(unknown_name(&pointer, &route.class, &rules.classes.names()));
         }
         let mut earlier = rules.routes.items.iter().take_while(|(earlier, _)| earlier < index);
         if let Some((by, _)) = earlier.find(|(_, earlier)| covers(earlier, route)) {
-            let found = format!("a route that can never decide, as route {by} fits first");
-            let accepted = "narrower routes before wider ones";
+            let found = format!("a route that can never apply, because route {by} matches first");
+            let accepted = "more specific routes before more general ones";
             findings.push(Finding::new(format!("/routes/{index}"), found, accepted));
         }
     }
 }
 
-/// Whether every call that fits `narrow` fits `wide`.
+/// Whether every call that matches `narrow` also matches `wide`.
 fn covers(wide: &RouteSettings, narrow: &RouteSettings) -> bool {
     wide.service == narrow.service
         && (wide.method.is_none() || wide.method == narrow.method)
-        && is_below(&narrow.path_prefix, &wide.path_prefix)
+        && has_path_prefix(&narrow.path_prefix, &wide.path_prefix)
 }
 
-/// Names are unique, each service has a route, and its connections can fill its slots.
-fn check_services(rules: &RulesDraft, findings: &mut Vec<Finding>) {
+/// Checks that names are unique, that each service has a route, and that it has at least as many
+/// connections as slots.
+fn check_services(rules: &PartialRules, findings: &mut Vec<Finding>) {
     let services = &rules.services;
     let names = services.items.iter().map(|(index, service)| (*index, service.name.clone()));
     check_unique("/services", "name", names, findings);
     for (index, service) in &services.items {
         let is_routed = rules.routes.items.iter().any(|(_, route)| route.service == service.name);
-        if rules.routes.is_whole && !is_routed {
+        if rules.routes.is_complete && !is_routed {
             let found = format!("\"{}\", which no route names", service.name);
-            let accepted = "a service with at least one route, which gives its calls a class";
+            let accepted = "a service with at least one route, which assigns its calls a class";
             findings.push(Finding::new(format!("/services/{index}/name"), found, accepted));
         }
         if service.connections < service.slots {
@@ -120,8 +124,9 @@
     }
 }
 
-/// Services call known services, each named once, and never come back to themselves.
-fn check_calls(services: &Listed<ServiceSettings>, findings: &mut Vec<Finding>) {
+/// Checks that services call known services, each named once, and that the call graph has no
+/// cycles.
+fn check_calls(services: &PartialList<ServiceSettings>, findings: &mut Vec<Finding>) {
     let mut calls: BTreeMap<&str, &[String]> = BTreeMap::new();
     for (index, service) in &services.items {
         calls.insert(&service.name, &service.calls);
@@ -129,7 +134,7 @@
         for (place, callee) in service.calls.iter().enumerate() {
             let pointer = format!("/services/{index}/calls/{place}");
             if services.lacks(callee) {
-                findings.push(unknown(&pointer, callee, &services.names()));
+                findings.push(unknown_name(&pointer, callee, &services.names()));
             }
             if !seen.insert(callee) {
                 let found = format!("\"{callee}\" a second time");
@@ -138,16 +143,19 @@
         }
     }
     for (index, service) in &services.items {
-        if let Some(path) = path_back(&service.name, &calls) {
-            let found = format!("the cycle {}", path.join(" -> "));
-            let accepted = "services that never call themselves, through whatever others";
+        if let Some(cycle) = shortest_cycle(&service.name, &calls) {
+            let found = format!("the cycle {}", cycle.join(" -> "));
+            let accepted = "services that never call themselves, directly or through others";
             findings.push(Finding::new(format!("/services/{index}/calls"), found, accepted));
         }
     }
 }
 
-/// The shortest chain of calls from `start` back to itself, if there is one.
-fn path_back<'a>(start: &'a str, calls: &BTreeMap<&'a str, &'a [String]>) -> Option<Vec<&'a str>> {
+/// The shortest chain of calls from `start` back to itself, if any (breadth-first search).
+fn shortest_cycle<'a>(
+    start: &'a str,
+    calls: &BTreeMap<&'a str, &'a [String]>,
+) -> Option<Vec<&'a str>> {
     let mut paths = vec![vec![start]];
     let mut seen = BTreeSet::new();
     let mut next = 0;
@@ -169,8 +177,8 @@
     None
 }
 
-/// Ids and names are unique, policies are known, and the shares add up to 1.
-fn check_arms(rules: &RulesDraft, findings: &mut Vec<Finding>) {
+/// Checks that ids and names are unique, that policies are known, and that the shares add up to 1.
+fn check_arms(rules: &PartialRules, findings: &mut Vec<Finding>) {
     let arms = &rules.arms;
     let ids = arms.items.iter().map(|(index, arm)| (*index, arm.id.to_string()));
     check_unique("/arms", "id", ids, findings);
@@ -179,12 +187,12 @@
     for (index, arm) in &arms.items {
         if rules.policies.lacks(&arm.policy) {
             let pointer = format!("/arms/{index}/policy");
-            findings.push(unknown(&pointer, &arm.policy, &rules.policies.names()));
+            findings.push(unknown_name(&pointer, &arm.policy, &rules.policies.names()));
         }
     }
     let sum: f64 = arms.items.iter().map(|(_, arm)| arm.share).sum();
     let is_one = (sum - 1.0).abs() <= SHARE_TOLERANCE;
-    if arms.is_whole && !arms.items.is_empty() && !is_one {
+    if arms.is_complete && !arms.items.is_empty() && !is_one {
         let shares: Vec<String> =
             arms.items.iter().map(|(_, arm)| format!("{} {}", arm.name, arm.share)).collect();
         let found = format!("shares that add up to {sum} ({})", shares.join(", "));
@@ -192,8 +200,8 @@
     }
 }
 
-/// Every arm that has a share has at least one slot of each target.
-fn check_slots_of_arms(rules: &RulesDraft, findings: &mut Vec<Finding>) {
+/// Checks that every arm with a non-zero share has at least one slot of each target.
+fn check_arm_slots(rules: &PartialRules, findings: &mut Vec<Finding>) {
     let services = rules.services.items.iter().map(|(_, service)| service);
     let Some(smallest) = services.filter(|each| each.slots > 0).min_by_key(|each| each.slots)
     else {
@@ -206,14 +214,14 @@
                 "{}, which is {slots} of the {} slots of a target of {}",
                 arm.share, smallest.slots, smallest.name
             );
-            let accepted = "0, or a share that is at least one slot of each target";
+            let accepted = "0, or a share of at least one slot of each target";
             findings.push(Finding::new(format!("/arms/{index}/share"), found, accepted));
         }
     }
 }
 
-/// Names are unique, and the least backoff is not above the longest.
-fn check_policies(rules: &RulesDraft, findings: &mut Vec<Finding>) {
+/// Checks that names are unique, and that the minimum backoff is not above the maximum.
+fn check_policies(rules: &PartialRules, findings: &mut Vec<Finding>) {
     let policies = &rules.policies;
     let names = policies.items.iter().map(|(index, policy)| (*index, policy.name.clone()));
     check_unique("/policies", "name", names, findings);
@@ -229,7 +237,7 @@
     }
 }
 
-/// Reports each value that an earlier item of the list has too.
+/// Reports each value that an earlier item of the list also has.
 fn check_unique(
     list: &str,
     member: &str,
@@ -239,8 +247,8 @@
     let mut seen = BTreeMap::new();
     for (index, value) in values {
         if let Some(first) = seen.get(&value) {
-            let found = format!("\"{value}\", which item {first} has too");
-            let accepted = format!("a {member} of its own");
+            let found = format!("\"{value}\", which item {first} also has");
+            let accepted = format!("a unique {member}");
             findings.push(Finding::new(format!("{list}/{index}/{member}"), found, accepted));
             continue;
         }
@@ -248,8 +256,8 @@
     }
 }
 
-/// A name that refers to nothing.
-pub(super) fn unknown(pointer: &str, name: &str, known: &[&str]) -> Finding {
+/// A reference to a name that is not among the `known` ones.
+pub(super) fn unknown_name(pointer: &str, name: &str, known: &[&str]) -> Finding {
     let accepted = format!("one of {}", known.join(", "));
     Finding::new(pointer, format!("\"{name}\""), accepted)
 }
--- a/src/config/check_node.rs
+++ b/src/config/check_node.rs
@@ -1,18 +1,18 @@
-//! Contradictions between a node's own settings, and between them and the rules.
+//! Consistency checks within a node's own settings, and between them and the rules.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use super::check::unknown;
-use super::draft::{NodeDraft, RulesDraft};
+use super::check::unknown_name;
 use super::node::{default_bodies_max_bytes, default_body_max_bytes};
+use super::partial::{PartialNode, PartialRules};
 use super::problem::Finding;
 
-/// The members of a node's section that it listens on.
+/// The members of the node section that are listen addresses.
 const LISTENERS: [&str; 4] = ["caller_listen", "target_listen", "peer_listen", "operator_listen"];
 
-/// Every contradiction in a node's section, and between it and the rules.
-pub(super) fn check_node(node: &NodeDraft<'_>, rules: &RulesDraft) -> Vec<Finding> {
+/// Every inconsistency in the node section, and between it and the rules.
+pub(super) fn check_node(node: &PartialNode<'_>, rules: &PartialRules) -> Vec<Finding> {
     let mut findings = Vec::new();
     check_listeners(node, &mut findings);
     check_seeds(node, &mut findings);
@@ -23,14 +23,14 @@
         findings.push(Finding::new("/node/bodies_max_bytes", bodies_max.to_string(), accepted));
     }
     if let Some(service) = node.text("service").filter(|service| rules.services.lacks(service)) {
-        findings.push(unknown("/node/service", service, &rules.services.names()));
+        findings.push(unknown_name("/node/service", service, &rules.services.names()));
     }
     findings
 }
 
-/// The listeners differ from each other, and each can be reached from where it must be and not
-/// from where it must not.
-fn check_listeners(node: &NodeDraft<'_>, findings: &mut Vec<Finding>) {
+/// Checks that the listeners do not collide, that the target listener is loopback only, and that
+/// other nodes can connect to the peer listener's address.
+fn check_listeners(node: &PartialNode<'_>, findings: &mut Vec<Finding>) {
     let mut earlier: Vec<(&str, SocketAddr)> = Vec::new();
     for name in LISTENERS {
         let Some(address) = node.address(name) else {
@@ -39,34 +39,33 @@
         let pointer = format!("/node/{name}");
         if let Some((other, _)) = earlier.iter().find(|(_, other)| collides(*other, address)) {
             let found = format!("{address}, the address of {other}");
-            findings.push(Finding::new(&pointer, found, "an address of its own"));
+            findings.push(Finding::new(&pointer, found, "a unique address"));
         }
         earlier.push((name, address));
         if name == "target_listen" && !address.ip().is_loopback() {
-            let accepted =
-                "an address of the loopback, as only the target beside the node is meant";
+            let accepted = "a loopback address, as only the node's local target may connect";
             findings.push(Finding::new(&pointer, address.to_string(), accepted));
         }
         if name == "peer_listen" && address.ip().is_unspecified() {
-            let accepted = "the IP number that other nodes connect to";
+            let accepted = "the IP address that other nodes connect to";
             findings.push(Finding::new(&pointer, address.to_string(), accepted));
         }
     }
 }
 
-/// Whether two listeners cannot both be opened. Port 0 stands for any free port.
+/// Whether two listeners cannot both be bound. Port 0 stands for any free port.
 fn collides(one: SocketAddr, other: SocketAddr) -> bool {
     let is_any = one.ip().is_unspecified() || other.ip().is_unspecified();
     one.port() == other.port() && one.port() != 0 && (is_any || one.ip() == other.ip())
 }
 
-/// Seeds can be connected to and are named once.
-fn check_seeds(node: &NodeDraft<'_>, findings: &mut Vec<Finding>) {
+/// Checks that seeds are addresses that can be connected to, each named once.
+fn check_seeds(node: &PartialNode<'_>, findings: &mut Vec<Finding>) {
     let mut seen = BTreeSet::new();
     for (index, seed) in node.seeds() {
         let pointer = format!("/node/seeds/{index}");
         if seed.port() == 0 || seed.ip().is_unspecified() {
-            let accepted = "the IP number and port of another node";
+            let accepted = "the IP address and port of another node";
             findings.push(Finding::new(&pointer, seed.to_string(), accepted));
         }
         if !seen.insert(seed) {
--- a/src/config/describe.rs
+++ b/src/config/describe.rs
@@ -1,14 +1,14 @@
-//! Puts into words what a part of the schema accepts, and what was found instead.
+//! Text for error messages: what a subschema accepts, and what was found instead.
 
 use serde_json::Value;
 
-use super::shape::{choices, integer_max, types};
-use super::text::format_of;
+use super::format::format_of;
+use super::validate::{alternatives, integer_max, types};
 
-/// The longest piece of a wrong value that a problem repeats, in characters.
+/// The maximum length of a value in an error message, in characters.
 const FOUND_MAX_CHARS: usize = 80;
 
-/// A compact rendering of a value, cut where it is long.
+/// A value as compact JSON, truncated if it is long.
 pub(super) fn render(value: &Value) -> String {
     let text = value.to_string();
     if text.chars().count() <= FOUND_MAX_CHARS {
@@ -18,7 +18,7 @@
     format!("{start}...")
 }
 
-/// What a part of the schema accepts, in words.
+/// What a subschema accepts, as text.
 pub(super) fn describe(schema: &Value) -> String {
     if let Some(constant) = schema.get("const") {
         return constant.to_string();
@@ -27,8 +27,8 @@
         let accepted: Vec<String> = accepted.iter().map(Value::to_string).collect();
         return accepted.join(" or ");
     }
-    if let Some(choices) = choices(schema) {
-        let accepted: Vec<String> = choices.iter().map(describe).collect();
+    if let Some(alternatives) = alternatives(schema) {
+        let accepted: Vec<String> = alternatives.iter().map(describe).collect();
         return accepted.join(" or ");
     }
     let types = types(schema);
@@ -36,7 +36,7 @@
     accepted.join(" or ")
 }
 
-/// What one type of a part of the schema accepts, in words.
+/// What a subschema accepts of one type, as text.
 fn describe_type(schema: &Value, name: &str) -> String {
     match name {
         "boolean" => "true or false".to_owned(),
@@ -49,7 +49,7 @@
     }
 }
 
-/// The kind of object that a part of the schema accepts, in words.
+/// The kind of object that a subschema accepts, as text.
 fn describe_object(schema: &Value) -> String {
     let properties = schema.get("properties").and_then(Value::as_object);
     for (name, property) in properties.into_iter().flatten() {
@@ -60,7 +60,7 @@
     "an object".to_owned()
 }
 
-/// The bounds of a number, in words.
+/// The bounds of a number, as text.
 fn describe_range(schema: &Value) -> String {
     let bound = |keyword: &str| schema.get(keyword).map(Value::to_string);
     let maximum = bound("maximum").or_else(|| integer_max(schema).map(|max| max.to_string()));
@@ -68,10 +68,10 @@
         (Some(minimum), Some(maximum)) => return format!(" from {minimum} to {maximum}"),
         bounds => bounds,
     };
-    let least = minimum.map(|bound| format!(" of at least {bound}"));
+    let at_least = minimum.map(|bound| format!(" of at least {bound}"));
     let above = bound("exclusiveMinimum").map(|bound| format!(" above {bound}"));
-    let most = maximum.map(|bound| format!(" of at most {bound}"));
+    let at_most = maximum.map(|bound| format!(" of at most {bound}"));
     let below = bound("exclusiveMaximum").map(|bound| format!(" below {bound}"));
-    let bounds: Vec<String> = [least, above, most, below].into_iter().flatten().collect();
+    let bounds: Vec<String> = [at_least, above, at_most, below].into_iter().flatten().collect();
     bounds.join(" and")
 }
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -1,4 +1,4 @@
-//! The document that operators submit: the rules of all sites, and what differs at each.
+//! The document that operators submit: rules shared by all sites, and an overlay for each site.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -6,84 +6,85 @@
 use serde_json::{Map, Value, json};
 
 use super::describe::render;
-use super::load::{RULES, check_merged_rules, load_site, trace};
+use super::load::{RULES, check_merged_rules, load_site, to_problems};
 use super::merge::merge;
 use super::problem::{Finding, Problem};
 use super::read::{read_file, read_text};
-use super::tree::{Kind, Tree, join};
-use super::{Rules, shape};
+use super::tree::{Kind, Tree, join_pointer};
+use super::{Rules, validate};
 
-/// The member that holds the rules all sites share.
+/// The member with the rules that all sites share.
 const BASE: &str = "base";
-/// The member that holds what differs at each site, by its name.
+/// The member with the overlay of each site, by site name.
 const SITES: &str = "sites";
-/// The name of a document that came from no file, in problems.
-const UNNAMED: &str = "document";
+/// The file name that problems show for a document that was not read from a file.
+const NO_FILE: &str = "document";
 
-/// The rules that a document gives to its sites.
+/// The rules of all sites, as read from a document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteRules {
-    /// The rules of each site that the document names.
-    named: BTreeMap<String, Rules>,
-    /// The rules of any other site, or why there are none.
-    unnamed: Result<Rules, Vec<Problem>>,
+    /// The rules of each site that has an overlay in the document.
+    by_site: BTreeMap<String, Rules>,
+    /// The rules of any other site, or the problems that make them invalid.
+    shared: Result<Rules, Vec<Problem>>,
 }
 
 impl SiteRules {
-    /// The rules of `site`. One that the document does not name has the rules all sites share.
+    /// The rules of `site`. A site without an overlay gets the shared rules.
     ///
     /// # Errors
     ///
-    /// Why the rules that all sites share do not suffice for a site that is not named.
-    pub fn of(self, site: &str) -> Result<Rules, Vec<Problem>> {
-        let Self { mut named, unnamed } = self;
-        named.remove(site).map_or(unnamed, Ok)
+    /// The problems of the shared rules, if `site` has no overlay and they are not valid alone.
+    pub fn for_site(self, site: &str) -> Result<Rules, Vec<Problem>> {
+        let Self { mut by_site, shared } = self;
+        by_site.remove(site).map_or(shared, Ok)
     }
 }
 
-/// Makes the rules of `site` from the document in `text`.
+/// Reads the rules of `site` from the document in `text`.
 ///
 /// # Errors
 ///
-/// Every problem of every site, also of those that are not asked for: a document is accepted for
-/// all sites or for none.
+/// Every problem of every site, not only of `site`: a document is accepted for all sites or for
+/// none.
 pub fn read_document(site: &str, text: &str) -> Result<Rules, Vec<Problem>> {
-    read_site_rules(Path::new(UNNAMED), text)?.of(site)
+    read_site_rules(Path::new(NO_FILE), text)?.for_site(site)
 }
 
-/// Makes the rules of all sites from the document in `text`, which came from `file`.
+/// Reads the rules of all sites from the document in `text`, which came from `file`.
 ///
 /// # Errors
 ///
-/// Every problem of every site. Where no site is named, the problems of what all sites share.
+/// Every problem of every site; if the document has no overlays, the problems of the shared rules.
 pub fn read_site_rules(file: &Path, text: &str) -> Result<SiteRules, Vec<Problem>> {
     let mut problems = Vec::new();
     let Some(document) = read_text(file, text, &mut problems) else {
         return Err(problems);
     };
-    problems.extend(check_form(&document));
+    problems.extend(check_structure(&document));
     let (Some(base), true) = (document.member(BASE), problems.is_empty()) else {
         return Err(problems);
     };
-    let mut named = BTreeMap::new();
+    let mut by_site = BTreeMap::new();
     for (name, overlay) in members_of(document.member(SITES)) {
         match merge_rules(base, Some(overlay)) {
-            Ok(rules) => drop(named.insert(name.clone(), rules)),
-            Err(wrong) => problems.extend(wrong),
+            Ok(rules) => drop(by_site.insert(name.clone(), rules)),
+            Err(site_problems) => problems.extend(site_problems),
         }
     }
-    let unnamed = merge_rules(base, None);
-    if named.is_empty() && problems.is_empty() {
-        problems.extend(unnamed.clone().err().into_iter().flatten());
+    let shared = merge_rules(base, None);
+    if by_site.is_empty() && problems.is_empty() {
+        problems.extend(shared.clone().err().into_iter().flatten());
     }
-    if problems.is_empty() { Ok(SiteRules { named, unnamed }) } else { Err(dedup(problems)) }
+    if problems.is_empty() { Ok(SiteRules { by_site, shared }) } else { Err(dedup(problems)) }
 }
 
-/// Makes a document of the rules in the settings `base` and in the overlay of each site.
+/// Composes a document from the rules in the settings file `base` and in the overlay file of each
+/// site.
 ///
 /// # Errors
 ///
-/// Every problem of every site's settings, and a site that is named twice.
+/// Every problem of every site's settings, and every site that is given twice.
 pub fn compose_document(base: &Path, sites: &[PathBuf]) -> Result<Value, Vec<Problem>> {
     let mut problems = Vec::new();
     let mut overlays = Map::new();
@@ -91,8 +92,8 @@
         let files = [base.to_path_buf(), file.clone()];
         let site = match load_site(&files) {
             Ok(site) => site.settings.site,
-            Err(wrong) => {
-                problems.extend(wrong);
+            Err(site_problems) => {
+                problems.extend(site_problems);
                 continue;
             }
         };
@@ -104,21 +105,21 @@
                 accepted: "each site once".to_owned(),
             });
         }
-        overlays.insert(site, rules_in(file, &mut problems));
+        overlays.insert(site, read_rules_section(file, &mut problems));
     }
-    let base = rules_in(base, &mut problems);
+    let base = read_rules_section(base, &mut problems);
     let document = json!({ BASE: base, SITES: overlays });
     if problems.is_empty() { Ok(document) } else { Err(dedup(problems)) }
 }
 
-/// The rules in a file of settings, as they stand there.
-fn rules_in(file: &Path, problems: &mut Vec<Problem>) -> Value {
+/// The rules section of a settings file, unmerged.
+fn read_rules_section(file: &Path, problems: &mut Vec<Problem>) -> Value {
     let tree = read_file(file, problems);
     let rules = tree.as_ref().and_then(|tree| tree.member("rules"));
     rules.map_or_else(|| json!({}), Tree::to_value)
 }
 
-/// The rules that all sites share, with those of one site laid over them.
+/// Merges the overlay of one site into the shared rules and checks the result.
 fn merge_rules(base: &Tree, overlay: Option<&Tree>) -> Result<Rules, Vec<Problem>> {
     let mut problems = Vec::new();
     let mut merged = merge(None, base.clone(), RULES, &mut problems);
@@ -131,36 +132,36 @@
     }
 }
 
-/// Everything that is wrong with the form of a document, down to the rules in it.
-fn check_form(document: &Tree) -> Vec<Problem> {
+/// Checks the structure of a document down to, but not including, the rules in it.
+fn check_structure(document: &Tree) -> Vec<Problem> {
     let schema = json!({
         "type": "object",
         "properties": {
-            BASE: { "type": "object", "description": "The rules all sites share" },
-            SITES: { "type": "object", "description": "What differs at each site, by its name" },
+            BASE: { "type": "object", "description": "The rules that all sites share" },
+            SITES: { "type": "object", "description": "The overlay of each site, by site name" },
         },
         "additionalProperties": false,
         "required": [BASE],
     });
-    // What is inside of these is for the schema of the rules.
-    let mut outer = document.to_value();
+    // The contents of these members are checked against the schema of the rules.
+    let mut outline = document.to_value();
     for name in [BASE, SITES] {
-        if let Some(Value::Object(members)) = outer.get_mut(name) {
+        if let Some(Value::Object(members)) = outline.get_mut(name) {
             members.clear();
         }
     }
-    let mut findings = shape::check(&schema, &outer);
+    let mut findings = validate::validate(&schema, &outline);
     for (name, overlay) in members_of(document.member(SITES)) {
         if !matches!(overlay.kind, Kind::Object(_)) {
-            let pointer = join(&join("", SITES), name);
+            let pointer = join_pointer(&join_pointer("", SITES), name);
             let found = render(&overlay.to_value());
             findings.push(Finding::new(pointer, found, "an object"));
         }
     }
-    trace(document, findings)
+    to_problems(document, findings)
 }
 
-/// The members of an object, or nothing.
+/// The members of an object; empty if `tree` is not an object.
 fn members_of(tree: Option<&Tree>) -> impl Iterator<Item = (&String, &Tree)> {
     let members = tree.and_then(|tree| match &tree.kind {
         Kind::Object(members) => Some(&members.present),
@@ -169,7 +170,7 @@
     members.into_iter().flatten()
 }
 
-/// What is wrong with the part that all sites share is found once for each site.
+/// Removes duplicates: a problem in the shared rules is found once for each site.
 fn dedup(problems: Vec<Problem>) -> Vec<Problem> {
     let mut unique = Vec::new();
     for problem in problems {
--- a/src/config/lookup.rs
+++ b/src/config/lookup.rs
@@ -1,15 +1,15 @@
-//! Questions that the decision code asks the rules in force.
+//! Lookups in the rules: services, classes of calls, arms of root requests and policies.
 
 use super::{ArmSettings, ClassSettings, PolicySettings, Rules, ServiceSettings};
 use crate::call::{ArmId, ClassRank, RootId};
 
 impl Rules {
-    /// The service called `name`.
+    /// The service named `name`.
     pub fn service(&self, name: &str) -> Option<&ServiceSettings> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// The class called `name`.
+    /// The class named `name`.
     pub fn class(&self, name: &str) -> Option<&ClassSettings> {
         self.classes.iter().find(|class| class.name == name)
     }
@@ -19,11 +19,11 @@
         self.classes.iter().find(|class| class.rank == rank.0)
     }
 
-    /// The class of a call: that of the first route that fits its service, method and path.
+    /// The class of a call: that of the first route that matches its service, method and path.
     ///
-    /// `path` may carry a query, which is not looked at. A path that a target could read as another
-    /// one (dot segments, empty segments, unreserved characters written as escapes) fits no route,
-    /// so a call cannot slip into a class that it does not belong to.
+    /// `path` may have a query, which is ignored. A path that a target could normalize to another
+    /// one (dot segments, empty segments, percent-encoded unreserved characters) matches no route,
+    /// so that a call cannot obtain the class of a different path.
     pub fn class_for(&self, service: &str, method: &str, path: &str) -> Option<&ClassSettings> {
         let path = path.split('?').next().unwrap_or_default();
         if !is_canonical(path) {
@@ -33,24 +33,29 @@
             if route.service != service {
                 continue;
             }
-            if route.method.as_deref().is_some_and(|wanted| !wanted.eq_ignore_ascii_case(method)) {
+            if route
+                .method
+                .as_deref()
+                .is_some_and(|expected| !expected.eq_ignore_ascii_case(method))
+            {
                 continue;
             }
-            if is_below(path, &route.path_prefix) {
+            if has_path_prefix(path, &route.path_prefix) {
                 return self.class(&route.class);
             }
         }
         None
     }
 
-    /// The arm of a root: the same on every node that has the same arms in force, in whatever order
-    /// they are listed, and independent of the root's byte in `Level`.
+    /// The arm of a root request: the same on every node with the same arms, regardless of their
+    /// order, and independent of the root's byte in `Level`.
     ///
-    /// The split is a weighted rendezvous: a change of shares moves no more roots than it must.
+    /// Uses weighted rendezvous hashing, so that a change of shares reassigns no more roots than
+    /// necessary.
     ///
     /// # Panics
     ///
-    /// Panics where there is no arm at all, which `check_rules` refuses.
+    /// Panics if there are no arms, which `check_rules` refuses.
     pub fn arm_for(&self, root: RootId) -> &ArmSettings {
         let mut best = &self.arms[0];
         let mut best_score = f64::NEG_INFINITY;
@@ -67,39 +72,39 @@
         best
     }
 
-    /// The arm numbered `arm`, if it is in force.
+    /// The arm with the id `arm`, if it is in these rules.
     pub fn arm(&self, arm: ArmId) -> Option<&ArmSettings> {
         self.arms.iter().find(|candidate| candidate.id == arm.0)
     }
 
-    /// The policy called `name`.
+    /// The policy named `name`.
     pub fn policy(&self, name: &str) -> Option<&PolicySettings> {
         self.policies.iter().find(|policy| policy.name == name)
     }
 
-    /// The policy that decides for `arm`.
+    /// The policy of `arm`, or that of the first arm if `arm` is unknown.
     ///
-    /// A call may carry an arm that has just been taken out of force, or that this node has not
-    /// heard of yet; the first arm's policy decides for it.
+    /// A call may carry an arm that was just removed, or one from rules that this node has not
+    /// received yet.
     ///
     /// # Panics
     ///
-    /// Panics where there is no arm or the arm's policy is missing, which `check_rules` refuses.
+    /// Panics if there are no arms or the arm's policy is missing, which `check_rules` refuses.
     pub fn policy_of(&self, arm: ArmId) -> &PolicySettings {
         let arm = self.arm(arm).unwrap_or(&self.arms[0]);
         self.policy(&arm.policy).expect("checked rules name only known policies")
     }
 }
 
-/// Whether `path` is `prefix` or lies below it.
-pub(super) fn is_below(path: &str, prefix: &str) -> bool {
+/// Whether `path` is `prefix` or continues it by whole segments.
+pub(super) fn has_path_prefix(path: &str, prefix: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else {
         return false;
     };
     rest.is_empty() || prefix.ends_with('/') || rest.starts_with('/')
 }
 
-/// Whether no target can read `path` as a different path.
+/// Whether `path` is in a form that no target normalizes to a different path.
 pub(super) fn is_canonical(path: &str) -> bool {
     let Some(rest) = path.strip_prefix('/') else {
         return false;
@@ -120,7 +125,7 @@
     true
 }
 
-/// Whether the escapes of `segment` are well formed and stand only for characters that need one.
+/// Whether the percent-encoded bytes of `segment` are well formed and need the encoding.
 fn has_canonical_escapes(segment: &str) -> bool {
     for escape in segment.split('%').skip(1) {
         let Some(digits) = escape.get(..2) else {
@@ -140,16 +145,16 @@
     true
 }
 
-/// A number between 0 and 1, neither included, from a root and the number of an arm.
+/// A hash of a root and the id of an arm as a number between 0 and 1, both exclusive.
 fn unit_hash(root: RootId, arm: u8) -> f64 {
     const MANTISSA_BITS: u32 = 53;
     let low = mix(root.0 as u64 ^ u64::from(arm));
-    let both = mix(low ^ (root.0 >> 64) as u64);
-    let numerator = (both >> (u64::BITS - MANTISSA_BITS)) as f64 + 0.5;
+    let hash = mix(low ^ (root.0 >> 64) as u64);
+    let numerator = (hash >> (u64::BITS - MANTISSA_BITS)) as f64 + 0.5;
     numerator / (1_u64 << MANTISSA_BITS) as f64
 }
 
-/// Mixes all bits of `value` (the output function of SplitMix64).
+/// The output function of SplitMix64, which mixes all bits of `value`.
 fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/src/config/merge.rs
+++ b/src/config/merge.rs
@@ -1,48 +1,49 @@
-//! Lays an overlay over what earlier files say.
+//! Merges an overlay into the settings of earlier files.
 //!
-//! Objects are merged as by RFC 7396: a member replaces the inherited one, null removes it. Two
-//! things differ, so that an overlay states only what differs. A list whose items have a key is
-//! merged item by item, and an item `{<key>, "remove": true}` takes the inherited one out. An
-//! object whose `kind` changes is replaced as a whole, since the members of one kind mean nothing
-//! in another.
+//! Objects are merged as in JSON Merge Patch (RFC 7396): a member replaces the inherited one, and
+//! null removes it. There are two exceptions, so that an overlay holds only the differences. A list
+//! whose items have a key is merged item by item, and an item `{<key>, "remove": true}` removes the
+//! inherited one. An object whose `kind` changes is replaced as a whole, since the members of one
+//! kind have no meaning in another.
 
 use std::collections::BTreeSet;
 
 use serde_json::Value;
 
 use super::problem::Problem;
-use super::tree::{Kind, Members, Tree, join};
+use super::tree::{Kind, Members, Tree, join_pointer};
 
-/// The member of an overlay's item that takes the inherited item out.
+/// The member of an overlay's item that removes the inherited item.
 const REMOVE: &str = "remove";
-/// The member that tells the kinds of an object apart.
+/// The member that holds the kind of an object.
 const KIND: &str = "kind";
 
-/// A list whose items are merged one by one.
+/// A list whose items are merged by key.
 struct KeyedList {
     /// The JSON pointer of the list within the settings.
     pointer: &'static str,
-    /// The members that make up an item's key, each with the value it has when it is absent.
+    /// The members that make up an item's key, each with its default, if it has one.
     key: &'static [(&'static str, Option<&'static str>)],
-    /// Whether items that an overlay adds come before the inherited ones. They do where the first
-    /// item that fits decides, so that the later file has the say.
-    is_added_first: bool,
+    /// Whether items that an overlay adds go before the inherited ones. This is so where the first
+    /// matching item applies, so that later files take precedence.
+    are_added_first: bool,
 }
 
 /// Every list whose items have a key.
 const KEYED_LISTS: &[KeyedList] = &[
-    KeyedList { pointer: "/rules/classes", key: &[("name", None)], is_added_first: false },
-    KeyedList { pointer: "/rules/services", key: &[("name", None)], is_added_first: false },
-    KeyedList { pointer: "/rules/arms", key: &[("id", None)], is_added_first: false },
-    KeyedList { pointer: "/rules/policies", key: &[("name", None)], is_added_first: false },
+    KeyedList { pointer: "/rules/classes", key: &[("name", None)], are_added_first: false },
+    KeyedList { pointer: "/rules/services", key: &[("name", None)], are_added_first: false },
+    KeyedList { pointer: "/rules/arms", key: &[("id", None)], are_added_first: false },
+    KeyedList { pointer: "/rules/policies", key: &[("name", None)], are_added_first: false },
     KeyedList {
         pointer: "/rules/routes",
         key: &[("service", None), ("method", Some("")), ("path_prefix", Some("/"))],
-        is_added_first: true,
+        are_added_first: true,
     },
 ];
 
-/// Lays `overlay` over `inherited`, both standing at `pointer`. None where nothing is left.
+/// Merges `overlay` into `inherited`, both of which are at `pointer`. Returns `None` if nothing is
+/// left.
 pub(super) fn merge(
     inherited: Option<Tree>,
     overlay: Tree,
@@ -53,7 +54,7 @@
         return None;
     }
     let keyed_list = KEYED_LISTS.iter().find(|list| list.pointer == pointer);
-    let inherited = inherited.filter(|inherited| !has_other_kind(inherited, &overlay));
+    let inherited = inherited.filter(|inherited| !has_different_kind(inherited, &overlay));
     match (overlay.kind, keyed_list) {
         (Kind::Object(members), _) => {
             let (origin, merged) = match inherited {
@@ -75,8 +76,8 @@
     }
 }
 
-/// Whether both are objects that name different kinds.
-fn has_other_kind(inherited: &Tree, overlay: &Tree) -> bool {
+/// Whether both are objects with a `kind` that differs.
+fn has_different_kind(inherited: &Tree, overlay: &Tree) -> bool {
     let kinds = (inherited.member(KIND), overlay.member(KIND));
     let (Some(inherited), Some(overlay)) = kinds else {
         return false;
@@ -93,9 +94,9 @@
 ) -> Members {
     for (name, member) in members.present {
         let inherited = merged.present.remove(&name);
-        let below = join(pointer, &name);
+        let member_pointer = join_pointer(pointer, &name);
         let origin = member.origin.clone();
-        match merge(inherited, member, &below, problems) {
+        match merge(inherited, member, &member_pointer, problems) {
             Some(member) => drop(merged.present.insert(name, member)),
             None => drop(merged.removed.insert(name, origin)),
         }
@@ -114,67 +115,67 @@
     let mut seen = BTreeSet::new();
     for item in items {
         let Some(key) = key_of(&item, list) else {
-            // An item without a key is refused for its shape later, with all else that is wrong.
+            // The later check against the schema reports an item without a key.
             added.push(item);
             continue;
         };
         if !seen.insert(key.clone()) {
             let found = format!("a second item {}", describe(&key));
-            problems.push(problem(&item, found, "one item for each key in a file"));
+            problems.push(problem(&item, found, "one item per key in a file"));
             continue;
         }
-        let place = merged.iter().position(|old| key_of(old, list).as_ref() == Some(&key));
+        let position = merged.iter().position(|old| key_of(old, list).as_ref() == Some(&key));
         if item.member(REMOVE).is_some() {
-            remove_item(&mut merged, place, &item, list, problems);
+            remove_item(&mut merged, position, &item, list, problems);
             continue;
         }
-        let inherited = place.map(|place| merged.remove(place));
-        let below = join(list.pointer, &describe(&key));
-        let Some(item) = merge(inherited, item, &below, problems) else {
+        let inherited = position.map(|position| merged.remove(position));
+        let item_pointer = join_pointer(list.pointer, &describe(&key));
+        let Some(item) = merge(inherited, item, &item_pointer, problems) else {
             continue;
         };
-        match place {
-            Some(place) => merged.insert(place, item),
+        match position {
+            Some(position) => merged.insert(position, item),
             None => added.push(item),
         }
     }
-    if list.is_added_first {
+    if list.are_added_first {
         std::mem::swap(&mut merged, &mut added);
     }
     merged.append(&mut added);
     merged
 }
 
-/// Takes the inherited item at `place` out, as `item` asks.
+/// Removes the inherited item at `position`, as `item` requests.
 fn remove_item(
     merged: &mut Vec<Tree>,
-    place: Option<usize>,
+    position: Option<usize>,
     item: &Tree,
     list: &KeyedList,
     problems: &mut Vec<Problem>,
 ) {
     if !is_bare_removal(item, list) {
-        let found = "a removal that is not true or has other members";
-        problems.push(problem(item, found, "the members of the key and \"remove\": true"));
+        let found = "a removal whose \"remove\" is not true, or that has other members";
+        problems.push(problem(item, found, "only the members of the key and \"remove\": true"));
         return;
     }
-    let Some(place) = place else {
-        let found = "a removal of what no earlier file has";
+    let Some(position) = position else {
+        let found = "a removal of an item that no earlier file has";
         problems.push(problem(item, found, "the key of an item of an earlier file"));
         return;
     };
-    merged.remove(place);
+    merged.remove(position);
 }
 
-/// The key of an item, where it has one.
+/// The key of an item, if every member of the key is present or has a default.
 fn key_of(item: &Tree, list: &KeyedList) -> Option<Vec<String>> {
     let mut key = Vec::new();
-    for (name, absent) in list.key {
+    for (name, default) in list.key {
         let value = item.member(name).and_then(Tree::scalar).filter(|value| !value.is_null());
         let part = match value {
             Some(Value::String(text)) => text.clone(),
             Some(value) => value.to_string(),
-            None => (*absent)?.to_owned(),
+            None => (*default)?.to_owned(),
         };
         key.push(part);
     }
@@ -196,7 +197,7 @@
     true
 }
 
-/// The key in words.
+/// The key as text.
 fn describe(key: &[String]) -> String {
     key.join(" ").trim().to_owned()
 }
--- a/src/config/problem.rs
+++ b/src/config/problem.rs
@@ -1,18 +1,18 @@
-//! What is wrong with a file of settings.
+//! Problems found in settings.
 
 use std::fmt;
 use std::path::PathBuf;
 
 use serde::Serialize;
 
-/// One thing that is wrong, with what would be right.
+/// An invalid or missing value, with what would be accepted instead.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// The file it stands in; absent for rules that came from no file.
+    /// The file with the value; `None` for rules that were not read from a file.
     pub file: Option<PathBuf>,
     /// The JSON pointer (RFC 6901) of the value within the file.
     pub path: String,
-    /// What was found there.
+    /// What was found.
     pub found: String,
     /// What would be accepted instead.
     pub accepted: String,
@@ -28,21 +28,21 @@
     }
 }
 
-/// A problem at a place of the merged settings, before it is traced back to a file.
+/// A problem in the merged settings, before its place in a file is looked up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Finding {
     /// The JSON pointer of the value within the merged settings.
     pub pointer: String,
-    /// What was found there.
+    /// What was found.
     pub found: String,
     /// What would be accepted instead.
     pub accepted: String,
-    /// Whether the value is missing altogether.
+    /// Whether the value is missing.
     pub is_absent: bool,
 }
 
 impl Finding {
-    /// A finding that there is nothing at `pointer`.
+    /// A finding that the value at `pointer` is missing.
     pub fn absent(pointer: impl Into<String>, accepted: impl Into<String>) -> Self {
         Self { is_absent: true, ..Self::new(pointer, "nothing", accepted) }
     }
--- a/src/config/read.rs
+++ b/src/config/read.rs
@@ -1,4 +1,4 @@
-//! Reads one file into a tree with origins.
+//! Parses one JSON file into a tree that keeps the origin of each value.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,34 +12,35 @@
 use super::problem::Problem;
 use super::tree::{Kind, Members, Origin, Tree};
 
-/// Reads the JSON document in `file`. None where it cannot be read, which is a problem.
+/// Reads the JSON document in `file`. Adds a problem and returns `None` if it cannot be read.
 pub(super) fn read_file(file: &Path, problems: &mut Vec<Problem>) -> Option<Tree> {
     match std::fs::read_to_string(file) {
         Ok(text) => read_text(file, &text, problems),
         Err(error) => {
-            let found = format!("no readable text ({error})");
-            problems.push(problem(file, "", found, "a file of JSON in UTF-8"));
+            let found = format!("an unreadable file ({error})");
+            problems.push(problem(file, "", found, "a JSON file in UTF-8"));
             None
         }
     }
 }
 
-/// Reads the JSON document `text`, which came from `file`. None where it is no JSON.
+/// Reads the JSON document `text`, which came from `file`. Adds a problem and returns `None` if it
+/// is not valid JSON.
 ///
-/// A member that an object has twice is a problem too: other readers of JSON keep the first or the
-/// last of them and say nothing.
+/// A duplicate member of an object is a problem too: other JSON parsers keep the first or the last
+/// one without an error.
 pub(super) fn read_text(file: &Path, text: &str, problems: &mut Vec<Problem>) -> Option<Tree> {
-    let doubled = RefCell::new(Vec::new());
+    let duplicates = RefCell::new(Vec::new());
     let origin = Origin { file: Arc::from(file), pointer: String::new() };
     let mut deserializer = serde_json::Deserializer::from_str(text);
-    let read = TreeSeed { origin, doubled: &doubled }
+    let tree = TreeSeed { origin, duplicates: &duplicates }
         .deserialize(&mut deserializer)
         .and_then(|tree| deserializer.end().map(|()| tree));
-    for origin in doubled.into_inner() {
+    for origin in duplicates.into_inner() {
         let found = "a member that the object has more than once";
         problems.push(problem(file, &origin.pointer, found, "each member at most once"));
     }
-    match read {
+    match tree {
         Ok(tree) => Some(tree),
         Err(error) => {
             problems.push(problem(file, "", error.to_string(), "one JSON document"));
@@ -58,23 +59,23 @@
     }
 }
 
-/// Builds the tree of a value that stands at a known place.
+/// Builds the tree of a value with a known origin.
 struct TreeSeed<'a> {
-    /// The place of the value.
+    /// The origin of the value.
     origin: Origin,
-    /// Collects the places of members that an object has more than once.
-    doubled: &'a RefCell<Vec<Origin>>,
+    /// Collects the origins of duplicate members.
+    duplicates: &'a RefCell<Vec<Origin>>,
 }
 
 impl TreeSeed<'_> {
-    /// A scalar at this place.
+    /// A scalar with this origin.
     fn scalar(self, value: impl Into<Value>) -> Tree {
         Tree { origin: self.origin, kind: Kind::Scalar(value.into()) }
     }
 
     /// The seed of the member or item `name`.
-    fn below(&self, name: &str) -> Self {
-        Self { origin: self.origin.below(name), doubled: self.doubled }
+    fn child(&self, name: &str) -> Self {
+        Self { origin: self.origin.child(name), duplicates: self.duplicates }
     }
 }
 
@@ -119,7 +120,7 @@
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut access: A) -> Result<Tree, A::Error> {
         let mut items: Vec<Tree> = Vec::new();
-        while let Some(item) = access.next_element_seed(self.below(&items.len().to_string()))? {
+        while let Some(item) = access.next_element_seed(self.child(&items.len().to_string()))? {
             items.push(item);
         }
         Ok(Tree { origin: self.origin, kind: Kind::List(items) })
@@ -128,11 +129,11 @@
     fn visit_map<A: MapAccess<'de>>(self, mut access: A) -> Result<Tree, A::Error> {
         let mut members = BTreeMap::new();
         while let Some(name) = access.next_key::<String>()? {
-            let seed = self.below(&name);
+            let seed = self.child(&name);
             let origin = seed.origin.clone();
             let member = access.next_value_seed(seed)?;
             if members.insert(name, member).is_some() {
-                self.doubled.borrow_mut().push(origin);
+                self.duplicates.borrow_mut().push(origin);
             }
         }
         Ok(Tree { origin: self.origin, kind: Kind::Object(Members::new(members)) })
--- a/src/config/tree.rs
+++ b/src/config/tree.rs
@@ -1,4 +1,4 @@
-//! A JSON document in which every value knows the file and the place it came from.
+//! A JSON document in which every value keeps its origin: a file and a place in it.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -9,16 +9,16 @@
 /// Where a value was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Origin {
-    /// The file.
+    /// The file that was read.
     pub file: Arc<Path>,
     /// The JSON pointer (RFC 6901) within the file.
     pub pointer: String,
 }
 
 impl Origin {
-    /// The origin of the member or item `name` below this one.
-    pub(super) fn below(&self, name: &str) -> Self {
-        Self { file: Arc::clone(&self.file), pointer: join(&self.pointer, name) }
+    /// The origin of the member or item `name` of the value at this origin.
+    pub(super) fn child(&self, name: &str) -> Self {
+        Self { file: Arc::clone(&self.file), pointer: join_pointer(&self.pointer, name) }
     }
 }
 
@@ -45,26 +45,26 @@
 /// The members of an object.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Members {
-    /// The members that are there.
+    /// The members that are present.
     pub present: BTreeMap<String, Tree>,
-    /// Where members were removed by a null.
+    /// The members that a null removed, each with the origin of the null.
     pub removed: BTreeMap<String, Origin>,
 }
 
 impl Members {
-    /// Members of which none was removed.
+    /// Members, none of which were removed.
     pub fn new(present: BTreeMap<String, Tree>) -> Self {
         Self { present, removed: BTreeMap::new() }
     }
 }
 
 impl Tree {
-    /// Whether this is a null.
+    /// Whether this is null.
     pub fn is_null(&self) -> bool {
         matches!(self.kind, Kind::Scalar(Value::Null))
     }
 
-    /// The member `name`, where this is an object that has it.
+    /// The member `name`, if this is an object that has it.
     pub fn member(&self, name: &str) -> Option<&Tree> {
         match &self.kind {
             Kind::Object(members) => members.present.get(name),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The scalar this is, if it is one.
+    /// The value, if this is a scalar.
     pub fn scalar(&self) -> Option<&Value> {
         match &self.kind {
             Kind::Scalar(value) => Some(value),
@@ -97,28 +97,28 @@
     /// The value at `pointer`, if there is one.
     pub fn find(&self, pointer: &str) -> Option<&Tree> {
         let mut tree = self;
-        for name in names(pointer) {
+        for name in pointer_tokens(pointer) {
             tree = tree.child(&name)?;
         }
         Some(tree)
     }
 
-    /// The origin of the value at `pointer`. Where there is none, the place where it was removed,
-    /// or else the place in the file of the nearest value above it at which it would stand.
+    /// The origin of the value at `pointer`. If there is no value, the origin of its removal, or
+    /// else the place where it would be in the file of its nearest ancestor.
     pub fn origin_of(&self, pointer: &str) -> Origin {
         let mut tree = Some(self);
         let mut origin = self.origin.clone();
-        for name in names(pointer) {
-            let removed = tree.and_then(|tree| tree.removal(&name)).cloned();
+        for name in pointer_tokens(pointer) {
+            let removed = tree.and_then(|tree| tree.removal_origin(&name)).cloned();
             tree = tree.and_then(|tree| tree.child(&name));
-            let absent = removed.unwrap_or_else(|| origin.below(&name));
+            let absent = removed.unwrap_or_else(|| origin.child(&name));
             origin = tree.map_or(absent, |tree| tree.origin.clone());
         }
         origin
     }
 
-    /// Where the member `name` was removed, if it was.
-    fn removal(&self, name: &str) -> Option<&Origin> {
+    /// The origin of the null that removed the member `name`, if one did.
+    fn removal_origin(&self, name: &str) -> Option<&Origin> {
         match &self.kind {
             Kind::Object(members) => members.removed.get(name),
             Kind::Scalar(_) | Kind::List(_) => None,
@@ -136,11 +136,11 @@
 }
 
 /// The JSON pointer of the member or item `name` of the value at `pointer`.
-pub(super) fn join(pointer: &str, name: &str) -> String {
+pub(super) fn join_pointer(pointer: &str, name: &str) -> String {
     format!("{pointer}/{}", name.replace('~', "~0").replace('/', "~1"))
 }
 
-/// The names along a JSON pointer.
-fn names(pointer: &str) -> impl Iterator<Item = String> + '_ {
+/// The unescaped reference tokens of a JSON pointer.
+fn pointer_tokens(pointer: &str) -> impl Iterator<Item = String> + '_ {
     pointer.split('/').skip(1).map(|name| name.replace("~1", "/").replace("~0", "~"))
 }
--- a/src/config/shape.rs
+++ b/src/config/validate.rs
@@ -1,36 +1,36 @@
-//! Holds a value against the schema and finds everything that does not fit.
+//! Validates a value against a JSON schema and reports every mismatch.
 //!
-//! The schema is the one generated from the types of the settings, so only the keywords that occur
-//! there are known. Deserialization would stop at the first error; this does not.
+//! Only the keywords that occur in the schema generated from the settings' types are supported.
+//! Unlike deserialization, validation does not stop at the first error.
 
 use serde_json::{Map, Value};
 
 use super::describe::{describe, render};
+use super::format::{format_of, may_hold_password};
 use super::problem::Finding;
-use super::text::{format_of, may_hold_password};
-use super::tree::join;
-
-/// Everything in `value` that does not fit `schema`, the whole schema with its definitions.
-pub(super) fn check(schema: &Value, value: &Value) -> Vec<Finding> {
-    let mut checker = Checker { root: schema, findings: Vec::new() };
-    checker.check(schema, value, "");
-    checker.findings
+use super::tree::join_pointer;
+
+/// Every mismatch between `value` and `schema`, which is the root schema with its definitions.
+pub(super) fn validate(schema: &Value, value: &Value) -> Vec<Finding> {
+    let mut validator = Validator { root: schema, findings: Vec::new() };
+    validator.check(schema, value, "");
+    validator.findings
 }
 
-/// Walks a value and its schema together.
-struct Checker<'a> {
-    /// The whole schema.
+/// Traverses a value and its schema together.
+struct Validator<'a> {
+    /// The root schema.
     root: &'a Value,
-    /// What was found so far.
+    /// The findings so far.
     findings: Vec<Finding>,
 }
 
-impl<'a> Checker<'a> {
-    /// Checks `value`, which stands at `pointer`, against one part of the schema.
+impl<'a> Validator<'a> {
+    /// Checks the value at `pointer` against a subschema.
     fn check(&mut self, schema: &'a Value, value: &Value, pointer: &str) {
         let schema = self.resolve(schema);
-        if let Some(choices) = choices(schema) {
-            self.check_choices(choices, value, pointer);
+        if let Some(alternatives) = alternatives(schema) {
+            self.check_alternatives(alternatives, value, pointer);
             return;
         }
         if !has_type(schema, value) {
@@ -47,14 +47,14 @@
                 }
             }
             Value::String(text) => {
-                if !is_accepted_text(schema, text) {
+                if !is_valid_string(schema, text) {
                     self.report(schema, value, pointer);
                 }
             }
         }
     }
 
-    /// Follows a reference into the definitions.
+    /// Resolves a reference to a definition.
     fn resolve(&self, schema: &'a Value) -> &'a Value {
         let Some(reference) = schema.get("$ref").and_then(Value::as_str) else {
             return schema;
@@ -62,34 +62,34 @@
         self.root.pointer(reference.trim_start_matches('#')).unwrap_or(schema)
     }
 
-    /// Checks a value that may be one of several things.
-    fn check_choices(&mut self, choices: &'a [Value], value: &Value, pointer: &str) {
+    /// Checks a value against the alternatives of a subschema.
+    fn check_alternatives(&mut self, alternatives: &'a [Value], value: &Value, pointer: &str) {
         let mut accepted = Vec::new();
-        for choice in choices {
-            let choice = self.resolve(choice);
-            if is_meant(choice, value) {
-                return self.check(choice, value, pointer);
+        for alternative in alternatives {
+            let alternative = self.resolve(alternative);
+            if is_intended(alternative, value) {
+                return self.check(alternative, value, pointer);
             }
-            accepted.push(describe(choice));
+            accepted.push(describe(alternative));
         }
         let accepted = accepted.join(" or ");
         self.findings.push(Finding::new(pointer, render(value), accepted));
     }
 
-    /// Checks which members there are, then each of them.
+    /// Checks the members of an object, and reports unknown and missing ones.
     fn check_members(&mut self, schema: &'a Value, members: &Map<String, Value>, pointer: &str) {
         let no_properties = Map::new();
         let properties = schema.get("properties").and_then(Value::as_object);
         for (name, member) in members {
-            let below = join(pointer, name);
+            let member_pointer = join_pointer(pointer, name);
             match properties.and_then(|properties| properties.get(name)) {
-                Some(schema) => self.check(schema, member, &below),
+                Some(schema) => self.check(schema, member, &member_pointer),
                 None => {
                     let names: Vec<&str> =
                         properties.unwrap_or(&no_properties).keys().map(String::as_str).collect();
                     let accepted = format!("only the members {}", names.join(", "));
                     let found = format!("the unknown member \"{name}\"");
-                    self.findings.push(Finding::new(below, found, accepted));
+                    self.findings.push(Finding::new(member_pointer, found, accepted));
                 }
             }
         }
@@ -100,55 +100,56 @@
             }
             let property = properties.and_then(|properties| properties.get(name));
             let accepted = property.map(|property| self.describe(property)).unwrap_or_default();
-            self.findings.push(Finding::absent(join(pointer, name), accepted));
+            self.findings.push(Finding::absent(join_pointer(pointer, name), accepted));
         }
     }
 
-    /// Checks how many items there are, then each of them.
+    /// Checks the number of items, then each item.
     fn check_items(&mut self, schema: &'a Value, items: &[Value], pointer: &str) {
-        let least = schema.get("minItems").and_then(Value::as_u64).unwrap_or(0);
-        if (items.len() as u64) < least {
+        let min_items = schema.get("minItems").and_then(Value::as_u64).unwrap_or(0);
+        if (items.len() as u64) < min_items {
             let found = format!("{} items", items.len());
-            let accepted = format!("a list of at least {least}");
+            let accepted = format!("a list of at least {min_items}");
             self.findings.push(Finding::new(pointer, found, accepted));
         }
         let Some(schema) = schema.get("items") else {
             return;
         };
         for (index, item) in items.iter().enumerate() {
-            self.check(schema, item, &join(pointer, &index.to_string()));
+            self.check(schema, item, &join_pointer(pointer, &index.to_string()));
         }
     }
 
-    /// Reports a value that does not fit its schema.
+    /// Reports a value that does not match its schema.
     fn report(&mut self, schema: &'a Value, value: &Value, pointer: &str) {
         let accepted = self.describe(schema);
         let is_secret = value.as_str().is_some_and(|text| may_hold_password(schema, text));
-        let found = if is_secret { "a URL with a user".to_owned() } else { render(value) };
+        let found =
+            if is_secret { "a URL with user information".to_owned() } else { render(value) };
         self.findings.push(Finding::new(pointer, found, accepted));
     }
 
-    /// What a part of the schema accepts, in words, with what it is for.
+    /// What a subschema accepts, as text, followed by its description.
     fn describe(&self, schema: &'a Value) -> String {
-        let purpose = schema.get("description").and_then(Value::as_str);
+        let description = schema.get("description").and_then(Value::as_str);
         let accepted = describe(self.resolve(schema));
-        let Some(purpose) = purpose else {
+        let Some(description) = description else {
             return accepted;
         };
-        let purpose = purpose.replace('\n', " ");
-        format!("{accepted} ({})", purpose.trim_end_matches('.'))
+        let description = description.replace('\n', " ");
+        format!("{accepted} ({})", description.trim_end_matches('.'))
     }
 }
 
-/// The alternatives of a part of the schema, if it has any.
-pub(super) fn choices(schema: &Value) -> Option<&[Value]> {
-    let choices = schema.get("oneOf").or_else(|| schema.get("anyOf"))?;
-    choices.as_array().map(Vec::as_slice)
+/// The alternatives of a subschema, if it has any.
+pub(super) fn alternatives(schema: &Value) -> Option<&[Value]> {
+    let alternatives = schema.get("oneOf").or_else(|| schema.get("anyOf"))?;
+    alternatives.as_array().map(Vec::as_slice)
 }
 
-/// Whether `value` is an attempt at the alternative `schema`: it has the constant that tells the
-/// alternative from the others, or where there is no such constant, its type.
-fn is_meant(schema: &Value, value: &Value) -> bool {
+/// Whether `schema` is the alternative that `value` is intended for: `value` has its discriminator
+/// constant or, if the alternative has no such constant, its type.
+fn is_intended(schema: &Value, value: &Value) -> bool {
     if let Some(constant) = schema.get("const") {
         return constant == value;
     }
@@ -163,7 +164,7 @@
     })
 }
 
-/// The names of the types that a part of the schema accepts.
+/// The names of the types that a subschema accepts.
 pub(super) fn types(schema: &Value) -> Vec<&str> {
     match schema.get("type") {
         Some(Value::String(name)) => vec![name],
@@ -172,7 +173,7 @@
     }
 }
 
-/// Whether a value has one of the types that a part of the schema accepts.
+/// Whether a value has one of the types that a subschema accepts.
 fn has_type(schema: &Value, value: &Value) -> bool {
     let types = types(schema);
     let is_type = |name: &&str| match *name {
@@ -188,7 +189,7 @@
     types.is_empty() || types.iter().any(is_type)
 }
 
-/// The largest integer of a part of the schema, by its keyword or its format.
+/// The maximum integer of a subschema, by the keyword `maximum` or by the format.
 pub(super) fn integer_max(schema: &Value) -> Option<u64> {
     let by_format = match schema.get("format").and_then(Value::as_str) {
         Some("uint8") => Some(u64::from(u8::MAX)),
@@ -199,30 +200,30 @@
     schema.get("maximum").and_then(Value::as_u64).or(by_format)
 }
 
-/// Whether a number lies within the bounds of its schema.
+/// Whether a number is within the bounds of its schema.
 fn is_in_range(schema: &Value, number: &serde_json::Number) -> bool {
     let Some(number_f64) = number.as_f64() else {
         return false;
     };
     let bound = |keyword: &str| schema.get(keyword).and_then(Value::as_f64);
-    let is_integer_below_max = match (integer_max(schema), number.as_u64()) {
+    let is_within_integer_max = match (integer_max(schema), number.as_u64()) {
         (Some(max), Some(number)) => number <= max,
         _ => true,
     };
-    is_integer_below_max
+    is_within_integer_max
         && bound("minimum").is_none_or(|bound| number_f64 >= bound)
         && bound("maximum").is_none_or(|bound| number_f64 <= bound)
         && bound("exclusiveMinimum").is_none_or(|bound| number_f64 > bound)
         && bound("exclusiveMaximum").is_none_or(|bound| number_f64 < bound)
 }
 
-/// Whether a text is one of those that its schema accepts.
-fn is_accepted_text(schema: &Value, text: &str) -> bool {
+/// Whether a string is accepted by its schema.
+fn is_valid_string(schema: &Value, text: &str) -> bool {
     if let Some(constant) = schema.get("const") {
         return constant == text;
     }
     if let Some(accepted) = schema.get("enum").and_then(Value::as_array) {
         return accepted.iter().any(|accepted| accepted == text);
     }
-    format_of(schema).is_none_or(|format| (format.is_accepted)(text))
+    format_of(schema).is_none_or(|format| (format.is_valid)(text))
 }
