--- a/tests/config_document.rs
+++ b/tests/config_document.rs
@@ -1,4 +1,4 @@
-//! Documents are accepted for all sites or for none.
+//! Tests of the document that operators submit, which is accepted for all sites or for none.
 
 use std::path::{Path, PathBuf};
 
@@ -11,7 +11,7 @@
 
 fn document() -> Value {
     let sites = [example("jordan.json"), example("donauwelle.json")];
-    config::compose_document(&example("base.json"), &sites).expect("the examples are well")
+    config::compose_document(&example("base.json"), &sites).expect("the examples are valid")
 }
 
 fn paths(problems: &[Problem]) -> Vec<&str> {
@@ -24,32 +24,33 @@
     document["sites"]["donauwelle"]["classes"][0]["rank"] = json!(10);
     let text = document.to_string();
     for site in ["jordan", "donauwelle", "elsewhere"] {
-        let problems = config::read_document(site, &text).expect_err("a rank twice");
+        let problems = config::read_document(site, &text).expect_err("a duplicate rank");
         assert_eq!(paths(&problems), ["/base/classes/3/rank"], "{site}");
         assert_eq!(problems[0].file.as_deref(), Some(Path::new("document")));
     }
 }
 
 #[test]
-fn a_problem_of_the_shared_part_is_told_once() {
+fn a_problem_of_the_shared_rules_is_reported_once() {
     let mut document = document();
     document["base"]["policies"][0]["queue_delay_ms"] = json!("20ms");
     document["sites"]["jordan"]["arms"] = json!([{"id": 0, "share": 0.5}]);
-    let problems = config::read_document("jordan", &document.to_string()).expect_err("both");
+    let problems =
+        config::read_document("jordan", &document.to_string()).expect_err("two problems");
     assert_eq!(paths(&problems), ["/base/policies/0/queue_delay_ms", "/base/arms"]);
 }
 
 #[test]
-fn a_site_that_is_not_named_needs_a_shared_part_that_suffices() {
+fn a_site_without_overlay_needs_complete_shared_rules() {
     let document = document();
     assert!(config::read_document("elsewhere", &document.to_string()).is_err());
     let jordan = config::read_document("jordan", &document.to_string()).expect("valid rules");
-    let alone = json!({"base": jordan}).to_string();
-    assert_eq!(config::read_document("elsewhere", &alone).expect("the shared rules"), jordan);
+    let shared_only = json!({"base": jordan}).to_string();
+    assert_eq!(config::read_document("elsewhere", &shared_only).expect("the shared rules"), jordan);
 }
 
 #[test]
-fn what_is_no_document_is_refused() {
+fn invalid_documents_are_refused() {
     for (text, path) in [
         ("7", ""),
         ("{}", "/base"),
@@ -59,14 +60,15 @@
         (r#"{"base": {}, "base": {}}"#, "/base"),
         (r#"{"base": {}"#, ""),
     ] {
-        let problems = config::read_document("jordan", text).expect_err("no document");
+        let problems = config::read_document("jordan", text).expect_err("an invalid document");
         assert_eq!(paths(&problems)[0], path, "{text}");
     }
 }
 
 #[test]
-fn a_site_is_composed_once() {
+fn a_site_that_is_given_twice_is_refused() {
     let sites = [example("jordan.json"), example("jordan.json")];
-    let problems = config::compose_document(&example("base.json"), &sites).expect_err("twice");
+    let problems =
+        config::compose_document(&example("base.json"), &sites).expect_err("a duplicate site");
     assert_eq!(paths(&problems), ["/site"]);
 }
--- a/tests/config_examples.rs
+++ b/tests/config_examples.rs
@@ -1,4 +1,4 @@
-//! The worked examples hold what the two organisations run today.
+//! Tests that the example settings match what the two organisations run today.
 
 use std::path::{Path, PathBuf};
 
@@ -45,7 +45,7 @@
     assert_eq!(sizes(&effective), expected);
 }
 
-/// The name, rank and promise of the class of a call.
+/// The name and rank of the class of a call, and whether it runs at most once.
 fn class<'a>(
     effective: &'a Effective,
     service: &str,
@@ -103,14 +103,14 @@
     assert!(!class(&jordan, "souq-orders", "GET", "/confirmations/17").2);
 }
 
-/// The longest chain of calls below a service, itself included.
+/// The number of services in the longest call chain that starts at `service`.
 fn depth(effective: &Effective, service: &str) -> usize {
     let service = effective.settings.rules.service(service).expect("known");
     1 + service.calls.iter().map(|callee| depth(effective, callee)).max().unwrap_or(0)
 }
 
 #[test]
-fn chains_are_deep() {
+fn call_chains_have_the_expected_depth() {
     let jordan = load("jordan", "souq-catalogue-1");
     assert_eq!(depth(&jordan, "souq-catalogue"), 3);
     assert_eq!(depth(&jordan, "souq-orders"), 4);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn one_arm_decides_by_threshold_and_the_baselines_are_at_hand() {
+fn one_arm_runs_the_threshold_policy_and_the_baselines_are_defined() {
     for (site, node) in [("jordan", "souq-catalogue-1"), ("donauwelle", "kabinenblick-1")] {
         let effective = load(site, node);
         let rules = &effective.settings.rules;
--- a/tests/config_lookup.rs
+++ b/tests/config_lookup.rs
@@ -1,4 +1,4 @@
-//! The rules answer the questions of the decision code.
+//! Tests of lookups in the rules: classes of calls, arms of root requests and policies.
 
 use aspenspring::call::{ArmId, ClassRank, Level, RootId};
 use aspenspring::config::Rules;
@@ -76,7 +76,7 @@
     assert_eq!(rules.policy_of(ArmId(200)).name, "p", "an unknown arm gets the first policy");
 }
 
-/// Roots that differ in every way ours may: random ones are made from this sequence.
+/// Root ids from a fixed sequence in which, as in random ids, all bits vary.
 fn roots(count: u64) -> impl Iterator<Item = RootId> {
     (0..count).map(|n| {
         let high = u128::from(n.wrapping_mul(0xd134_2543_de82_ef95));
@@ -94,9 +94,9 @@
     }
     for (byte, arms) in counts.iter().enumerate() {
         let total: u32 = arms.iter().sum();
-        for (arm, wanted) in [0.5, 0.3, 0.2].into_iter().enumerate() {
+        for (arm, expected) in [0.5, 0.3, 0.2].into_iter().enumerate() {
             let share = f64::from(arms[arm]) / f64::from(total);
-            assert!((share - wanted).abs() < 0.07, "byte {byte}, arm {arm}: {share}");
+            assert!((share - expected).abs() < 0.07, "byte {byte}, arm {arm}: {share}");
         }
     }
 }
