--- a/src/membership/contact.rs
+++ b/src/membership/contact.rs
@@ -1,4 +1,4 @@
-//! Nodes that ask this one although it does not care about their services, such as its callers.
+//! Nodes that contact this one from services that it does not track, such as its callers.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -7,14 +7,14 @@
 
 use super::interest::ServiceTag;
 
-/// The most contacts that are remembered.
+/// Maximum number of contacts kept.
 const CONTACTS_MAX: usize = 32;
-/// How long a contact that does not ask again is remembered, in microseconds.
-const CONTACT_US: u64 = 120 * US_PER_S;
-/// The most leads that wait to be followed.
-const LEADS_MAX: usize = 16;
+/// How long a contact is kept after its last digest, in microseconds.
+const CONTACT_TTL_US: u64 = 120 * US_PER_S;
+/// Maximum number of referrals waiting to be used.
+const REFERRALS_MAX: usize = 16;
 
-/// A node that asked.
+/// A node that sent a digest.
 #[derive(Debug)]
 struct Contact {
     address: SocketAddr,
@@ -22,16 +22,16 @@
     heard_us: u64,
 }
 
-/// Nodes that asked of late, and nodes that others named as worth asking.
+/// Nodes that sent digests recently, and addresses that peers referred this node to.
 #[derive(Debug, Default)]
 pub(super) struct Contacts {
     contacts: VecDeque<Contact>,
-    leads: VecDeque<SocketAddr>,
+    referrals: VecDeque<SocketAddr>,
 }
 
 impl Contacts {
-    /// Notes that a node of `service` asked.
-    pub(super) fn note(&mut self, now_us: u64, address: SocketAddr, service: ServiceTag) {
+    /// Records a digest from a node of `service`.
+    pub(super) fn record(&mut self, now_us: u64, address: SocketAddr, service: ServiceTag) {
         self.contacts.retain(|contact| contact.address != address);
         if self.contacts.len() >= CONTACTS_MAX {
             self.contacts.pop_front();
@@ -39,35 +39,36 @@
         self.contacts.push_back(Contact { address, service, heard_us: now_us });
     }
 
-    /// Forgets contacts that have not asked for long.
-    pub(super) fn age(&mut self, now_us: u64) {
-        self.contacts.retain(|contact| now_us.saturating_sub(contact.heard_us) < CONTACT_US);
+    /// Removes contacts whose last digest is older than `CONTACT_TTL_US`.
+    pub(super) fn expire(&mut self, now_us: u64) {
+        self.contacts.retain(|contact| now_us.saturating_sub(contact.heard_us) < CONTACT_TTL_US);
     }
 
-    /// Where the contacts are reached.
+    /// The peer addresses of the contacts.
     pub(super) fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
         self.contacts.iter().map(|contact| contact.address)
     }
 
-    /// Whom `asker` may ask about `service`: a contact of that service, or else any other one.
-    pub(super) fn lead(&self, service: ServiceTag, asker: SocketAddr) -> Option<SocketAddr> {
+    /// A node that `asker` may ask about `service`: a contact of that service if there is one, or
+    /// else any other contact.
+    pub(super) fn referral(&self, service: ServiceTag, asker: SocketAddr) -> Option<SocketAddr> {
         let others = || self.contacts.iter().rev().filter(|contact| contact.address != asker);
         let of_service = others().find(|contact| contact.service == service);
         of_service.or(others().next()).map(|contact| contact.address)
     }
 
-    /// Keeps leads that others gave.
-    pub(super) fn follow(&mut self, leads: &[SocketAddr], own: SocketAddr) {
-        for lead in leads {
-            let known = *lead == own || self.leads.contains(lead);
-            if !known && self.leads.len() < LEADS_MAX {
-                self.leads.push_back(*lead);
+    /// Adds referrals received from a peer.
+    pub(super) fn add_referrals(&mut self, referrals: &[SocketAddr], own: SocketAddr) {
+        for referral in referrals {
+            let known = *referral == own || self.referrals.contains(referral);
+            if !known && self.referrals.len() < REFERRALS_MAX {
+                self.referrals.push_back(*referral);
             }
         }
     }
 
-    /// The next lead to follow.
-    pub(super) fn take_lead(&mut self) -> Option<SocketAddr> {
-        self.leads.pop_front()
+    /// Removes and returns the oldest referral.
+    pub(super) fn next_referral(&mut self) -> Option<SocketAddr> {
+        self.referrals.pop_front()
     }
 }
--- a/src/membership/event.rs
+++ b/src/membership/event.rs
@@ -1,4 +1,4 @@
-//! What the membership is told and what it asks for.
+//! The events and actions of the membership state machine.
 
 use std::net::SocketAddr;
 
@@ -7,12 +7,12 @@
 use super::member::{Member, MemberRow};
 use super::wire::ConfigurationMark;
 
-/// Something the membership is told.
+/// An input of the membership state machine.
 #[derive(Debug)]
 pub enum MembershipEvent<'a> {
-    /// The target beside the node announced itself; zeros when it is gone.
+    /// The node's target announced itself. Both fields are 0 once the target is gone.
     TargetAnnounced {
-        /// How many calls it can run at once.
+        /// How many calls it can run concurrently.
         slots: u32,
         /// How many connections it accepts.
         connections: u32,
@@ -31,49 +31,49 @@
     },
     /// The node's own row was written.
     RowWritten {
-        /// Its version now.
+        /// The new version of the row.
         version: u64,
     },
-    /// The node's own row was not written because another version stands there.
+    /// The node's own row was not written because the row has another version than expected.
     RowConflict {
-        /// The version that stands there, or none where there is no row.
+        /// The current version of the row, or none if there is no row.
         version: Option<u64>,
-        /// The member that stands there, or none where the row is missing or makes no sense.
+        /// The member in the row, or none if the row is missing or cannot be parsed.
         present: Option<Member>,
     },
-    /// Writing the node's own row failed; it may have taken effect all the same.
+    /// Writing the node's own row failed, but the write may still have been applied.
     WriteFailed,
-    /// A gossip message of this module arrived.
+    /// A gossip message arrived.
     Gossip {
         /// The message.
         bytes: &'a [u8],
     },
-    /// Anything at all arrived from a node.
+    /// A message of any kind arrived from a node.
     Heard {
         /// The node.
         node: NodeId,
     },
-    /// The version of the configuration that the node has in force changed.
+    /// The node's configuration version changed, or whether it is confirmed.
     Configuration(ConfigurationMark),
-    /// The node leaves.
+    /// The node starts to leave.
     Leave,
     /// Time has passed.
     Tick,
-    /// The node calls this service.
+    /// The node calls this service, so its members must be tracked.
     WantService(&'a str),
 }
 
-/// Something the membership asks for.
+/// An output of the membership state machine, to be carried out by the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipAction {
     /// Write the node's own row by compare-and-set.
     WriteRow {
         /// The value.
         member: Member,
-        /// The version that must stand there, or none where the row must not exist.
+        /// The expected version of the row, or none if the row must not exist.
         expected: Option<u64>,
     },
-    /// Delete a row if it still has this version. The outcome is not reported back.
+    /// Delete a row if it still has this version. The outcome is not reported to the membership.
     DeleteRow {
         /// The key.
         key: String,
@@ -85,29 +85,29 @@
         /// The service.
         service: String,
     },
-    /// Send a gossip message; it may get lost.
+    /// Send a gossip message. Delivery is not guaranteed.
     SendGossip {
         /// The peer address.
         to: SocketAddr,
         /// The message.
         bytes: Vec<u8>,
     },
-    /// A member was heard of for the first time, or again. It may be leaving already.
+    /// A member was discovered, or rediscovered after it was removed. It may already be leaving.
     Added(Member),
-    /// A known member changed in more than its beat.
+    /// A field of a known member other than its heartbeat counter changed.
     Changed(Member),
-    /// A member was not heard of for too long, or a later life took its name.
+    /// A member was removed because its heartbeats stopped or a later incarnation took its name.
     Gone(NodeId),
-    /// A peer has told which version of the configuration it has.
+    /// A peer reported its configuration version.
     PeerConfiguration {
-        /// Where to ask the peer.
+        /// The address of the peer.
         peer: SocketAddr,
-        /// What it has.
+        /// Its version and whether that is confirmed.
         mark: ConfigurationMark,
     },
-    /// A later life holds this node's name: this one must take no new work.
+    /// A later incarnation holds this node's name, so this one must take no new work.
     Superseded {
-        /// The later life.
+        /// The later incarnation.
         by: NodeId,
     },
 }
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! The exchange between peers: digests, replies and the records that were missing.
+//! Gossip between peers: digests, replies and the records that one side lacks.
 
 use std::net::SocketAddr;
 
@@ -12,19 +12,20 @@
 use super::interest::ServiceTag;
 use super::member::Member;
 use super::state::Membership;
-use super::wire::{self, Body, Gossip, Group, Header, Record, Sign};
+use super::wire::{self, Body, Gossip, Group, Header, Heartbeat, Record};
 
-/// How many peers hear of a new version of the configuration in each round after it came in force.
+/// How many peers get a hello in each round that follows a configuration change.
 const HELLO_PEERS: usize = 2;
-/// The most requests for records in one reply.
+/// Maximum number of records requested in one reply.
 const WANTED_MAX: usize = 64;
-/// One in so many rounds also asks a seed or a member that is gone.
+/// On average, one round in this many also probes a seed, a referral or a removed member.
 const PROBE_ROUNDS: u32 = 4;
-/// The most leads in one reply.
-const LEADS_MAX: usize = 4;
+/// Maximum number of referrals in one reply.
+const REFERRALS_MAX: usize = 4;
 
 impl Membership {
-    /// Sends to a few of all known nodes at once.
+    /// Sends `body` immediately to at most `peers_max` random members and contacts, or to seeds if
+    /// none are known.
     pub(super) fn send_urgent(
         &self,
         body: Body,
@@ -43,7 +44,7 @@
         }
     }
 
-    pub(super) fn take_gossip(
+    pub(super) fn handle_gossip(
         &mut self,
         now_us: u64,
         bytes: &[u8],
@@ -55,127 +56,128 @@
             return;
         }
         self.last_peer_us = Some(now_us);
-        self.view.heard(from, now_us);
+        self.view.mark_alive(from, now_us);
         out.push(MembershipAction::PeerConfiguration { peer: address, mark: configuration });
         match message.body {
             Body::Digest { own, own_service, groups } => {
-                if !self.interests.has(own_service) {
-                    self.contacts.note(now_us, address, own_service);
+                if !self.interests.contains(own_service) {
+                    self.contacts.record(now_us, address, own_service);
                 }
-                let body = self.reply(now_us, address, own, own_service, &groups);
+                let body = self.build_reply(now_us, address, own, own_service, &groups);
                 self.send(address, body, out);
             }
-            Body::Reply { signs, records, wanted, leads } => {
-                self.contacts.follow(&leads, self.own.peer_address);
-                self.take_records(now_us, &records, out);
-                for sign in &signs {
-                    self.take_sign(now_us, sign);
+            Body::Reply { heartbeats, records, wanted, referrals } => {
+                self.contacts.add_referrals(&referrals, self.own.peer_address);
+                self.apply_records(now_us, &records, out);
+                for heartbeat in &heartbeats {
+                    self.apply_heartbeat(now_us, heartbeat);
                 }
-                self.send_wanted(now_us, address, &wanted, out);
+                self.send_requested(now_us, address, &wanted, out);
             }
-            Body::Records(records) => self.take_records(now_us, &records, out),
+            Body::Records(records) => self.apply_records(now_us, &records, out),
             Body::Hello => {}
         }
     }
 
-    /// Takes a sign of life; false where the whole record is needed.
-    fn take_sign(&mut self, now_us: u64, sign: &Sign) -> bool {
-        let node = NodeId(sign.node);
-        if node == self.own.node || !self.view.may_take(node, sign.beat) {
+    /// Applies a heartbeat; false if the full record is needed.
+    fn apply_heartbeat(&mut self, now_us: u64, heartbeat: &Heartbeat) -> bool {
+        let node = NodeId(heartbeat.node);
+        if node == self.own.node || !self.view.accepts(node, heartbeat.beat) {
             return true;
         }
-        let alive_us = now_us.saturating_sub(wire::age_us(sign.age_s));
-        self.view.take_sign(node, sign.beat, sign.revision, alive_us)
+        let alive_us = now_us.saturating_sub(wire::age_us(heartbeat.age_s));
+        self.view.apply_heartbeat(node, heartbeat.beat, heartbeat.revision, alive_us)
     }
 
-    fn take_records(&mut self, now_us: u64, records: &[Record], out: &mut Vec<MembershipAction>) {
+    fn apply_records(&mut self, now_us: u64, records: &[Record], out: &mut Vec<MembershipAction>) {
         for record in records {
             let member = &record.member;
             if member.node == self.own.node || !self.interests.has_service(&member.service) {
                 continue;
             }
-            if member.same_place(&self.own) {
-                self.meet_namesake(member, out);
+            if member.is_same_node(&self.own) {
+                self.resolve_name_conflict(member, out);
                 continue;
             }
             let alive_us = now_us.saturating_sub(wire::age_us(record.age_s));
-            self.view.take(now_us, member, alive_us, &self.options, out);
+            self.view.apply_record(now_us, member, alive_us, &self.options, out);
         }
     }
 
-    /// Takes the signs of a digest and makes the reply to it.
-    fn reply(
+    /// Applies the heartbeats of a digest and builds the reply to it.
+    fn build_reply(
         &mut self,
         now_us: u64,
         asker: SocketAddr,
-        own: Sign,
+        own: Heartbeat,
         own_service: ServiceTag,
         groups: &[Group],
     ) -> Body {
-        let mut signs = Vec::new();
+        let mut heartbeats = Vec::new();
         let mut records = Vec::new();
         let mut wanted = Vec::new();
-        let mut leads = Vec::new();
-        if self.interests.has(own_service) && !self.take_sign(now_us, &own) {
+        let mut referrals = Vec::new();
+        if self.interests.contains(own_service) && !self.apply_heartbeat(now_us, &own) {
             wanted.push(NodeId(own.node));
         }
         for group in groups {
-            if !self.interests.has(group.service) {
-                if group.whole && group.signs.is_empty() {
-                    leads.extend(self.contacts.lead(group.service, asker));
+            if !self.interests.contains(group.service) {
+                if group.whole && group.heartbeats.is_empty() {
+                    referrals.extend(self.contacts.referral(group.service, asker));
                 }
                 continue;
             }
-            for sign in &group.signs {
-                let known = self.take_sign(now_us, sign);
+            for heartbeat in &group.heartbeats {
+                let known = self.apply_heartbeat(now_us, heartbeat);
                 if !known && wanted.len() < WANTED_MAX {
-                    wanted.push(NodeId(sign.node));
+                    wanted.push(NodeId(heartbeat.node));
                 }
             }
-            self.offer(now_us, own.node, group, &mut signs, &mut records);
+            self.collect_missing(now_us, own.node, group, &mut heartbeats, &mut records);
         }
-        leads.truncate(LEADS_MAX);
-        Body::Reply { signs, records, wanted, leads }
+        referrals.truncate(REFERRALS_MAX);
+        Body::Reply { heartbeats, records, wanted, referrals }
     }
 
-    /// Collects what the sender of `group` lacks.
-    fn offer(
+    /// Collects the heartbeats and records that the sender of `group` lacks.
+    fn collect_missing(
         &self,
         now_us: u64,
         asker: u64,
         group: &Group,
-        signs: &mut Vec<Sign>,
+        heartbeats: &mut Vec<Heartbeat>,
         records: &mut Vec<Record>,
     ) {
-        let mut theirs: Vec<&Sign> = group.signs.iter().collect();
-        theirs.sort_unstable_by_key(|sign| sign.node);
-        for (member, alive_us) in self.known(now_us, group.service) {
+        let mut theirs: Vec<&Heartbeat> = group.heartbeats.iter().collect();
+        theirs.sort_unstable_by_key(|heartbeat| heartbeat.node);
+        for (member, alive_us) in self.known_members(now_us, group.service) {
             if member.node.0 == asker {
                 continue;
             }
-            let place = theirs.binary_search_by_key(&member.node.0, |sign| sign.node);
-            let sign = place.ok().map(|place| theirs[place]);
-            let outdated = sign.is_some_and(|sign| sign.revision < member.revision);
-            let lacking = sign.is_none() && group.whole;
+            let place = theirs.binary_search_by_key(&member.node.0, |heartbeat| heartbeat.node);
+            let heartbeat = place.ok().map(|place| theirs[place]);
+            let outdated = heartbeat.is_some_and(|heartbeat| heartbeat.revision < member.revision);
+            let lacking = heartbeat.is_none() && group.whole;
             if (outdated || lacking) && records.len() < self.options.records_max {
                 let age_s = wire::age_s(now_us.saturating_sub(alive_us));
                 records.push(Record { member: member.clone(), age_s });
                 continue;
             }
-            if sign.is_some_and(|sign| sign.beat < member.beat) {
-                signs.push(sign_of(now_us, member, alive_us));
+            if heartbeat.is_some_and(|heartbeat| heartbeat.beat < member.beat) {
+                heartbeats.push(heartbeat_of(now_us, member, alive_us));
             }
         }
     }
 
-    /// The members of a service, this node among them, with the time of their last sign of life.
-    fn known(&self, now_us: u64, tag: ServiceTag) -> impl Iterator<Item = (&Member, u64)> {
+    /// The members of a service, including this node, each with the time when it was last known to
+    /// be alive.
+    fn known_members(&self, now_us: u64, tag: ServiceTag) -> impl Iterator<Item = (&Member, u64)> {
         let own = (self.interests.own() == tag).then_some((&self.own, now_us));
         let entries = self.view.entries().filter(move |entry| entry.tag == tag);
         own.into_iter().chain(entries.map(|entry| (&entry.member, entry.alive_us)))
     }
 
-    fn send_wanted(
+    fn send_requested(
         &self,
         now_us: u64,
         to: SocketAddr,
@@ -197,9 +199,10 @@
         }
     }
 
-    /// One round: a digest to a member of the own service, and now and then one to each service
-    /// this node calls. All members of a service call the same services, so they share that work.
-    pub(super) fn gossip(
+    /// Runs one gossip round: sends a digest to a member of the own service and, at random, to a
+    /// member of each service that this node calls. All members of a service call the same
+    /// services, so the chance of the latter is one in the size of the own service.
+    pub(super) fn run_gossip_round(
         &mut self,
         now_us: u64,
         rng: &mut SmallRng,
@@ -208,7 +211,7 @@
         let own = self.interests.own();
         let own_peers = self.peer_addresses(|tag| tag == own);
         if let Some(to) = own_peers.choose(rng) {
-            let digest = self.digest(now_us, self.interests.tags(), rng);
+            let digest = self.build_digest(now_us, self.interests.tags(), rng);
             self.send(*to, digest, out);
         }
         let sharers = u32::try_from(own_peers.len()).unwrap_or(u32::MAX).saturating_add(1);
@@ -218,12 +221,12 @@
             }
             let peers = self.peer_addresses(|other| other == tag);
             let Some(to) = peers.choose(rng) else { continue };
-            let digest = self.digest(now_us, vec![tag], rng);
+            let digest = self.build_digest(now_us, vec![tag], rng);
             self.send(*to, digest, out);
         }
-        self.contacts.age(now_us);
-        if self.repeat_hello > 0 {
-            self.repeat_hello -= 1;
+        self.contacts.expire(now_us);
+        if self.hello_rounds_left > 0 {
+            self.hello_rounds_left -= 1;
             self.send_urgent(Body::Hello, HELLO_PEERS, rng, out);
         }
         if self.lacks_members() || rng.random_ratio(1, PROBE_ROUNDS) {
@@ -231,46 +234,46 @@
         }
     }
 
-    /// Whether some service this node cares about has no known member.
+    /// Whether a tracked service has no known member.
     fn lacks_members(&self) -> bool {
         self.interests.tags().iter().any(|tag| self.view.size(*tag) == 0)
     }
 
-    /// Asks a lead, a seed or a member that is gone, so that parts that lost each other meet again.
+    /// Sends a digest to a referral, a seed or a removed member, so that partitions merge again.
     fn probe(&mut self, now_us: u64, rng: &mut SmallRng, out: &mut Vec<MembershipAction>) {
         let mut addresses = self.view.lost_addresses();
-        addresses.extend(self.contacts.take_lead());
+        addresses.extend(self.contacts.next_referral());
         let known = self.peer_addresses(|_| true);
         let seeds = self.options.seeds.iter().copied();
         addresses.extend(seeds.filter(|seed| *seed != self.own.peer_address));
         addresses.retain(|address| !known.contains(address));
         let Some(to) = addresses.choose(rng) else { return };
-        let digest = self.digest(now_us, self.interests.tags(), rng);
+        let digest = self.build_digest(now_us, self.interests.tags(), rng);
         self.send(*to, digest, out);
     }
 
-    /// A digest of what is known of these services, limited in size.
-    fn digest(&self, now_us: u64, tags: Vec<ServiceTag>, rng: &mut SmallRng) -> Body {
+    /// Builds a digest of these services with about `heartbeats_max` random heartbeats at most.
+    fn build_digest(&self, now_us: u64, tags: Vec<ServiceTag>, rng: &mut SmallRng) -> Body {
         let total: usize = tags.iter().map(|tag| self.view.size(*tag)).sum();
-        let whole = total <= self.options.signs_max;
+        let whole = total <= self.options.heartbeats_max;
         let mut groups = Vec::new();
         for tag in tags {
             let entries = self.view.entries().filter(|entry| entry.tag == tag);
-            let mut signs: Vec<Sign> =
-                entries.map(|entry| sign_of(now_us, &entry.member, entry.alive_us)).collect();
+            let mut heartbeats: Vec<Heartbeat> =
+                entries.map(|entry| heartbeat_of(now_us, &entry.member, entry.alive_us)).collect();
             if !whole {
-                let share = (signs.len() * self.options.signs_max).div_ceil(total);
-                signs = signs.choose_multiple(rng, share).copied().collect();
+                let share = (heartbeats.len() * self.options.heartbeats_max).div_ceil(total);
+                heartbeats = heartbeats.choose_multiple(rng, share).copied().collect();
             }
-            groups.push(Group { service: tag, whole, signs });
+            groups.push(Group { service: tag, whole, heartbeats });
         }
-        let own = sign_of(now_us, &self.own, now_us);
+        let own = heartbeat_of(now_us, &self.own, now_us);
         Body::Digest { own, own_service: self.interests.own(), groups }
     }
 
-    /// The peer addresses of the members of the services that `fits` names.
-    fn peer_addresses(&self, fits: impl Fn(ServiceTag) -> bool) -> Vec<SocketAddr> {
-        let entries = self.view.entries().filter(|entry| fits(entry.tag));
+    /// The peer addresses of all members whose service tag satisfies `matches`.
+    fn peer_addresses(&self, matches: impl Fn(ServiceTag) -> bool) -> Vec<SocketAddr> {
+        let entries = self.view.entries().filter(|entry| matches(entry.tag));
         entries.map(|entry| entry.member.peer_address).collect()
     }
 
@@ -289,9 +292,9 @@
     }
 }
 
-/// The sign of life of `member`, last alive at `alive_us`.
-fn sign_of(now_us: u64, member: &Member, alive_us: u64) -> Sign {
-    Sign {
+/// The heartbeat of `member`, which was last known to be alive at `alive_us`.
+fn heartbeat_of(now_us: u64, member: &Member, alive_us: u64) -> Heartbeat {
+    Heartbeat {
         node: member.node.0,
         beat: member.beat,
         revision: member.revision,
--- a/src/membership/interest.rs
+++ b/src/membership/interest.rs
@@ -1,11 +1,11 @@
-//! Which services a node cares about.
+//! The services whose members a node tracks.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// A short name of a service on the wire. Two services with one tag would only cost bytes: records
-/// carry the whole name, which is checked.
+/// A hash of a service name, used on the wire. A collision only costs bandwidth, because records
+/// carry the full name, which is checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub(super) struct ServiceTag(pub(super) u32);
 
@@ -30,33 +30,33 @@
 }
 
 impl Interests {
-    /// Cares about the own service only.
+    /// Tracks only the node's own service.
     pub(super) fn new(own: &str) -> Self {
         let tag = ServiceTag::new(own);
         Self { own: tag, services: BTreeMap::from([(tag, own.to_owned())]) }
     }
 
-    /// Cares about `service` from now on; false if it did already.
+    /// Starts to track `service`; false if it is tracked already.
     pub(super) fn add(&mut self, service: &str) -> bool {
         self.services.insert(ServiceTag::new(service), service.to_owned()).is_none()
     }
 
-    /// Whether the node cares about the service with this tag.
-    pub(super) fn has(&self, tag: ServiceTag) -> bool {
+    /// Whether the service with this tag is tracked.
+    pub(super) fn contains(&self, tag: ServiceTag) -> bool {
         self.services.contains_key(&tag)
     }
 
-    /// Whether the node cares about `service`.
+    /// Whether `service` is tracked.
     pub(super) fn has_service(&self, service: &str) -> bool {
-        self.services.get(&ServiceTag::new(service)).is_some_and(|known| known == service)
+        self.services.get(&ServiceTag::new(service)).is_some_and(|tracked| tracked == service)
     }
 
-    /// The tag of the own service.
+    /// The tag of the node's own service.
     pub(super) fn own(&self) -> ServiceTag {
         self.own
     }
 
-    /// All tags, the own one among them.
+    /// The tags of all tracked services, including the node's own.
     pub(super) fn tags(&self) -> Vec<ServiceTag> {
         self.services.keys().copied().collect()
     }
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! One member and its row in the platform's table.
+//! A member of the mesh and its row in the platform's table service.
 
 use std::net::SocketAddr;
 
@@ -16,43 +16,43 @@
     Leaving,
 }
 
-/// What is known of one life of one node.
+/// The state of one incarnation (one run of the process) of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The life.
+    /// The ID of the incarnation.
     pub node: NodeId,
-    /// The node's name, which stays the same over restarts.
+    /// The node's name, which is kept across restarts.
     pub name: String,
-    /// The service whose target stands beside the node.
+    /// The service of the node's target.
     pub service: String,
     /// The failure domain of its VM.
     pub failure_domain: String,
-    /// Where other nodes connect.
+    /// The address that other nodes connect to.
     pub peer_address: SocketAddr,
-    /// How many calls its target can run at once; 0 while it has no target.
+    /// How many calls its target can run concurrently; 0 while it has no target.
     pub slots: u32,
     /// How many connections its target accepts; 0 while it has no target.
     pub connections: u32,
     /// Whether it takes new work.
     pub state: MemberState,
-    /// A sign of life, raised by the member itself only.
+    /// The heartbeat counter, incremented only by the member itself.
     pub beat: u64,
-    /// Raised by the member itself with every change of another field.
+    /// Incremented by the member itself with every change of another field.
     pub revision: u32,
-    /// When the life began, in milliseconds since the Unix epoch; of two lives with one name the
-    /// later one counts. A node that finds its predecessor at its name sets its own just after it,
-    /// so a clock that is behind does no harm.
+    /// When the incarnation started, in milliseconds since the Unix epoch. Of two incarnations with
+    /// one name, the later one wins. A new incarnation that finds its predecessor's row sets its
+    /// own value just above the predecessor's, so that a clock that is behind does no harm.
     pub started_unix_ms: u64,
 }
 
 impl Member {
-    /// Whether this life comes after `other` at the same name.
+    /// Whether this incarnation is later than `other`, which has the same name.
     pub fn supersedes(&self, other: &Member) -> bool {
         (self.started_unix_ms, self.node) > (other.started_unix_ms, other.node)
     }
 
-    /// Whether both are lives of the same node.
-    pub fn same_place(&self, other: &Member) -> bool {
+    /// Whether both are incarnations of the same node.
+    pub fn is_same_node(&self, other: &Member) -> bool {
         self.name == other.name && self.service == other.service
     }
 
@@ -62,17 +62,17 @@
     }
 }
 
-/// A member's row as it was read.
+/// A member's row as read from the table service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberRow {
     /// The value of the row.
     pub member: Member,
-    /// The version the table service gave the row.
+    /// The version that the table service assigned to the row.
     pub version: u64,
 }
 
 impl MemberRow {
-    /// The row in a value of the table, or none where it makes no sense.
+    /// Parses the value of a row; none if it is malformed.
     pub fn parse(value: &serde_json::Value, version: u64) -> Option<Self> {
         let member = Member::deserialize(value).ok()?;
         Some(Self { member, version })
@@ -84,7 +84,7 @@
     format!("member:{service}:{name}")
 }
 
-/// What the keys of all rows of `service` begin with.
+/// The common key prefix of all rows of `service`.
 pub fn row_prefix(service: &str) -> String {
     format!("member:{service}:")
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,10 +1,11 @@
-//! Which nodes there are, how fresh the news of them is, and which of them are leaving.
+//! Discovery and liveness of the other nodes.
 //!
-//! [`Membership`] is a state machine without I/O, clock or hidden randomness. Nodes meet through
-//! rows of the platform's table service, which are written and read rarely, and keep each other
-//! fresh by an epidemic exchange (digest, reply, missing records) that is limited to the services
-//! both sides care about. Only a member itself raises its `beat`; whoever sees a beat rise knows
-//! that the member was alive a known time ago. No clocks of different VMs are compared.
+//! [`Membership`] is a state machine without I/O, clock or hidden randomness. Nodes discover each
+//! other through rows of the platform's table service, which are written and read rarely. They stay
+//! up to date by gossip (digest, reply, missing records) that is limited to the services that both
+//! sides track. Only a member itself increments its heartbeat counter, `beat`, so a higher counter
+//! proves that the member was alive at a known time in the past. Clocks of different VMs are never
+//! compared.
 
 mod contact;
 mod event;
--- a/src/membership/options.rs
+++ b/src/membership/options.rs
@@ -1,4 +1,4 @@
-//! Intervals and bounds of the membership.
+//! Intervals and limits of the membership.
 
 use std::net::SocketAddr;
 
@@ -6,86 +6,88 @@
 
 use crate::clock::{US_PER_MS, US_PER_S};
 
-/// Intervals and bounds; the defaults fit a site of any size named in docs/CAPACITY.md.
+/// Intervals and limits. The defaults suit every site size listed in docs/CAPACITY.md.
 #[derive(Clone, Debug, Builder)]
 pub struct MembershipOptions {
     /// How often the node's own row is written, in microseconds.
     #[builder(default = 60 * US_PER_S)]
     pub announce_us: u64,
-    /// How often rows are read, one service at a time, in microseconds. While the exchange with
-    /// peers works, rows are read `READ_STRETCH` times less often.
+    /// How often rows are read, one service at a time, in microseconds. While gossip works, the
+    /// interval is `READ_INTERVAL_FACTOR` times as long.
     #[builder(default = 12 * US_PER_S)]
     pub poll_us: u64,
     /// How often a digest is sent to a peer, in microseconds, on a small site.
     #[builder(default = US_PER_S)]
     pub gossip_us: u64,
-    /// The least time between two digests for each member this node cares about, in microseconds.
-    /// It bounds the bytes a second whatever the number of members.
+    /// The minimum gossip interval per known member, in microseconds. It bounds the bytes per
+    /// second whatever the number of members.
     #[builder(default = 15 * US_PER_MS)]
     pub gossip_per_member_us: u64,
-    /// The longest time between two digests, in microseconds.
+    /// The maximum time between two digests, in microseconds.
     #[builder(default = 4 * US_PER_S)]
     pub gossip_max_us: u64,
-    /// How often a member raises its beat, in microseconds, in a small service.
+    /// The heartbeat interval in a small service, in microseconds.
     #[builder(default = 5 * US_PER_S)]
     pub beat_us: u64,
-    /// How much longer the time between two beats gets for each member of the service, in
-    /// microseconds. It keeps the number of beats a second in one service bounded.
+    /// The minimum heartbeat interval per member of the service, in microseconds. It bounds the
+    /// heartbeats per second of one service.
     #[builder(default = 25 * US_PER_MS)]
     pub beat_per_member_us: u64,
-    /// After how many missed beats a member is gone.
+    /// After how many missed heartbeats a member is removed.
     #[builder(default = 12)]
     pub beats_missed: u64,
-    /// How long a store request may stay without an outcome, in microseconds.
+    /// Timeout of a request to the table service, in microseconds.
     #[builder(default = 10 * US_PER_S)]
     pub store_timeout_us: u64,
-    /// The longest time between two tries while the store fails, in microseconds.
+    /// The maximum backoff while the table service fails, in microseconds.
     #[builder(default = 60 * US_PER_S)]
     pub backoff_max_us: u64,
-    /// How long a row must stand unchanged in readable state before it may be deleted as dead.
+    /// How long a row must be seen unchanged, without a failed read in between, before it may be
+    /// deleted as dead, in microseconds.
     #[builder(default = 600 * US_PER_S)]
     pub row_dead_us: u64,
-    /// How long the memory of a member that went silent is kept, in microseconds. That a member
-    /// left is remembered until there are too many memories.
+    /// How long the tombstone of a member that went silent is kept, in microseconds. The tombstone
+    /// of a member that left is kept until there are more than `tombstones_max`.
     #[builder(default = 3_600 * US_PER_S)]
     pub tombstone_us: u64,
-    /// A pause between two events that counts as a freeze of the process, in microseconds.
+    /// The shortest gap between two events that counts as a pause of the process, in microseconds.
     #[builder(default = 10 * US_PER_S)]
-    pub freeze_us: u64,
-    /// How many nodes the site is expected to have; it spreads the first row traffic after a start
-    /// so that a site that starts at once stays within the store's means.
+    pub pause_min_us: u64,
+    /// The expected number of nodes of the site. The first reads and writes after a start are
+    /// spread accordingly, so that a site whose nodes all start at once does not overload the table
+    /// service.
     #[builder(default = 20)]
     pub site_nodes: u32,
-    /// Peer addresses to ask when the table service is away.
+    /// Peer addresses to contact when the table service is unavailable.
     #[builder(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The most signs of life in one digest.
+    /// About how many heartbeats of other members one digest holds at most.
     #[builder(default = 256)]
-    pub signs_max: usize,
-    /// The most full records in one message.
+    pub heartbeats_max: usize,
+    /// Maximum number of full records in one message.
     #[builder(default = 64)]
     pub records_max: usize,
-    /// The most members that are kept.
+    /// Maximum number of known members.
     #[builder(default = 8_192)]
     pub members_max: usize,
-    /// The most members gone that are remembered.
+    /// Maximum number of tombstones.
     #[builder(default = 2_048)]
     pub tombstones_max: usize,
 }
 
 impl MembershipOptions {
-    /// How often a member of a service with `members` members raises its beat.
+    /// The heartbeat interval of a service with `members` members, in microseconds.
     pub fn beat_interval_us(&self, members: usize) -> u64 {
         self.beat_us.max(self.beat_per_member_us * members as u64)
     }
 
-    /// How often a node that cares about `members` members sends a digest.
+    /// The gossip interval of a node that knows `members` members, in microseconds.
     pub fn gossip_interval_us(&self, members: usize) -> u64 {
         let wanted_us = self.gossip_us.max(self.gossip_per_member_us * members as u64);
         wanted_us.min(self.gossip_max_us)
     }
 
-    /// After how long without a sign of life a member of such a service is gone.
+    /// After how long without a heartbeat a member of such a service is removed, in microseconds.
     pub fn age_out_us(&self, members: usize) -> u64 {
         self.beat_interval_us(members) * self.beats_missed
     }
--- a/src/membership/rows.rs
+++ b/src/membership/rows.rs
@@ -1,4 +1,5 @@
-//! When the node's row is written and when rows are read, so that the store carries all nodes.
+//! Schedules reads and writes of member rows so that the whole site does not overload the table
+//! service.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,32 +12,34 @@
 use super::member::MemberRow;
 use super::options::MembershipOptions;
 
-/// How much less often rows are read while peers keep the node fresh.
-const READ_STRETCH: u64 = 4;
-/// The row writes a second of a whole site that starts at once.
+/// How many times longer the read interval is while gossip arrives from peers.
+const READ_INTERVAL_FACTOR: u64 = 4;
+/// The row writes per second of a whole site whose nodes all start at once.
 const SITE_WRITES_PER_S: u64 = 200;
-/// The first reads a second of a whole site that starts at once; as many go to the configuration.
+/// The first reads per second of a whole site whose nodes all start at once. The configuration adds
+/// as many reads.
 const SITE_FIRST_READS_PER_S: u64 = 800;
-/// The reads a second of a whole site that then reads one service after the other, roughly.
+/// The approximate reads per second of such a site while each node reads its remaining services.
 const SITE_READS_PER_S: u64 = 250;
-/// The least time between two writes of one row, in microseconds.
-const WRITE_GAP_US: u64 = 2 * US_PER_S;
-/// The first wait before a service without a known member is read again, in microseconds.
-const EMPTY_WAIT_US: u64 = 2 * US_PER_S;
-/// The first backoff after a failure, in microseconds.
+/// The longest random delay before a write after a change or a conflict, in microseconds.
+const WRITE_SPREAD_US: u64 = 2 * US_PER_S;
+/// The first delay before rows are read again while a called service has no known member, in
+/// microseconds.
+const EMPTY_REREAD_US: u64 = 2 * US_PER_S;
+/// The base of the backoff after failures, in microseconds.
 const BACKOFF_US: u64 = US_PER_S;
 
-/// A store request without an outcome yet, and when it is given up.
-type Pending = Option<u64>;
+/// When an outstanding request to the table service times out; none if there is none.
+type RequestDeadline = Option<u64>;
 
-/// Full-jitter backoff.
+/// Exponential backoff with jitter.
 #[derive(Debug, Default)]
 struct Backoff {
     failures: u32,
 }
 
 impl Backoff {
-    /// The wait after one more failure.
+    /// Counts one more failure and returns the delay after it, in microseconds.
     fn next_us(&mut self, max_us: u64, rng: &mut SmallRng) -> u64 {
         self.failures = self.failures.saturating_add(1);
         let ceiling_us = (BACKOFF_US << self.failures.min(16)).min(max_us);
@@ -44,38 +47,38 @@
     }
 }
 
-/// A row that has not changed since it was first read so.
+/// The version of a row and when it was first read with that version.
 #[derive(Debug)]
-struct Still {
+struct UnchangedRow {
     version: u64,
     since_us: u64,
 }
 
-/// The schedule of the node's row traffic.
+/// The schedule of the node's requests to the table service.
 #[derive(Debug)]
-pub(super) struct Rows {
+pub(super) struct RowSchedule {
     next_write_us: u64,
     next_read_us: u64,
-    /// Whether this life has written its row.
+    /// Whether this incarnation has written its row.
     pub(super) written_once: bool,
-    writing: Pending,
-    reading: Pending,
+    writing: RequestDeadline,
+    reading: RequestDeadline,
     write_backoff: Backoff,
     read_backoff: Backoff,
-    /// Services in the order in which they are read; the front is next.
+    /// Services in the order in which they are read; the front is read next.
     queue: VecDeque<String>,
     /// How many services at the front of the queue have not been read yet.
     unread: usize,
-    /// How many reads in a row have left a service without a known member.
+    /// How many consecutive reads left a called service without a known member.
     empty_reads: u32,
-    /// The version of the node's own row, as far as is known.
+    /// The last known version of the node's own row.
     pub(super) own_version: Option<u64>,
-    still: BTreeMap<String, BTreeMap<NodeId, Still>>,
+    unchanged: BTreeMap<String, BTreeMap<NodeId, UnchangedRow>>,
 }
 
-impl Rows {
-    /// A schedule whose first requests are spread so that a site that starts at once stays within
-    /// the store's means.
+impl RowSchedule {
+    /// A schedule whose first requests are spread so that a site whose nodes all start at once does
+    /// not overload the table service.
     pub(super) fn new(
         now_us: u64,
         own_service: &str,
@@ -97,12 +100,12 @@
             unread: 1,
             empty_reads: 0,
             own_version: None,
-            still: BTreeMap::new(),
+            unchanged: BTreeMap::new(),
         }
     }
 
-    /// Adds a service, which is read before those that were read already.
-    pub(super) fn want(
+    /// Adds a service, which is read before those that have been read already.
+    pub(super) fn add_service(
         &mut self,
         now_us: u64,
         service: &str,
@@ -112,7 +115,7 @@
         let first = self.unread == self.queue.len();
         self.queue.insert(self.unread, service.to_owned());
         self.unread += 1;
-        // Before the first read, a start is being spread; while reads fail, the backoff counts.
+        // Before the first read, the start-up spread applies; while reads fail, the backoff does.
         if first || self.read_backoff.failures > 0 {
             return;
         }
@@ -120,26 +123,27 @@
         self.next_read_us = self.next_read_us.min(soon_us);
     }
 
-    /// Leaves services at the front of the queue for later whose members peers have told.
-    pub(super) fn skip_told(&mut self, told: impl Fn(&str) -> bool) {
-        while self.unread > 0 && self.queue.front().is_some_and(|service| told(service)) {
+    /// Moves unread services at the front of the queue to its back if their members are known from
+    /// peers already.
+    pub(super) fn skip_known(&mut self, is_known: impl Fn(&str) -> bool) {
+        while self.unread > 0 && self.queue.front().is_some_and(|service| is_known(service)) {
             self.queue.rotate_left(1);
             self.unread -= 1;
         }
     }
 
-    /// Has the own row written soon, because it changed. The first write keeps its time: many
-    /// nodes may have started, and found their targets, at once.
-    pub(super) fn write_soon(&mut self, now_us: u64, rng: &mut SmallRng) {
+    /// Moves the next write of the own row forward because its content changed. The first write is
+    /// not moved, because many nodes may have started and found their targets at once.
+    pub(super) fn schedule_write(&mut self, now_us: u64, rng: &mut SmallRng) {
         if self.write_backoff.failures > 0 || !self.written_once {
             return;
         }
-        let soon_us = now_us + rng.random_range(0..=WRITE_GAP_US);
+        let soon_us = now_us + rng.random_range(0..=WRITE_SPREAD_US);
         self.next_write_us = self.next_write_us.min(soon_us);
     }
 
-    /// Whether the own row is to be written now.
-    pub(super) fn write_due(&mut self, now_us: u64, options: &MembershipOptions) -> bool {
+    /// Whether a write of the own row is due. If so, the write counts as started.
+    pub(super) fn start_due_write(&mut self, now_us: u64, options: &MembershipOptions) -> bool {
         if self.writing.is_some_and(|until_us| now_us < until_us) || now_us < self.next_write_us {
             return false;
         }
@@ -148,8 +152,12 @@
         true
     }
 
-    /// The service whose rows are to be read now.
-    pub(super) fn read_due(&mut self, now_us: u64, options: &MembershipOptions) -> Option<String> {
+    /// The service whose rows are due to be read. If there is one, the read counts as started.
+    pub(super) fn start_due_read(
+        &mut self,
+        now_us: u64,
+        options: &MembershipOptions,
+    ) -> Option<String> {
         if self.reading.is_some_and(|until_us| now_us < until_us) || now_us < self.next_read_us {
             return None;
         }
@@ -158,8 +166,8 @@
         self.queue.front().cloned()
     }
 
-    /// Notes that the own row was written.
-    pub(super) fn written(
+    /// Records a successful write of the own row.
+    pub(super) fn write_succeeded(
         &mut self,
         now_us: u64,
         version: u64,
@@ -173,14 +181,19 @@
         self.next_write_us = now_us + jitter(options.announce_us, rng);
     }
 
-    /// Notes that another version of the own row stands there.
-    pub(super) fn conflicted(&mut self, now_us: u64, present: Option<u64>, rng: &mut SmallRng) {
+    /// Records that the own row has another version than expected.
+    pub(super) fn write_conflicted(
+        &mut self,
+        now_us: u64,
+        present: Option<u64>,
+        rng: &mut SmallRng,
+    ) {
         self.own_version = present;
         self.writing = None;
-        self.next_write_us = now_us + rng.random_range(0..=WRITE_GAP_US);
+        self.next_write_us = now_us + rng.random_range(0..=WRITE_SPREAD_US);
     }
 
-    /// Notes that writing failed.
+    /// Records a failed write.
     pub(super) fn write_failed(
         &mut self,
         now_us: u64,
@@ -192,41 +205,46 @@
         self.next_write_us = now_us + wait_us;
     }
 
-    /// Notes that rows were read. `fresh` says whether peers keep this node fresh, `empty` whether
-    /// a service it calls has no known member.
-    pub(super) fn read(
+    /// Records a successful read. `heard_peers` says whether gossip arrived recently,
+    /// `has_empty_service` whether a service that the node calls has no known member.
+    pub(super) fn read_succeeded(
         &mut self,
         now_us: u64,
         service: &str,
-        fresh: bool,
-        empty: bool,
+        heard_peers: bool,
+        has_empty_service: bool,
         options: &MembershipOptions,
         rng: &mut SmallRng,
     ) {
         self.reading = None;
         self.read_backoff = Backoff::default();
-        self.empty_reads = if empty { self.empty_reads.saturating_add(1) } else { 0 };
+        self.empty_reads = if has_empty_service { self.empty_reads.saturating_add(1) } else { 0 };
         if self.queue.front().is_some_and(|front| front == service) {
             self.queue.rotate_left(1);
             self.unread = self.unread.saturating_sub(1);
         }
-        self.next_read_us = now_us + self.read_wait_us(fresh, options, rng);
+        self.next_read_us = now_us + self.read_wait_us(heard_peers, options, rng);
     }
 
-    fn read_wait_us(&self, fresh: bool, options: &MembershipOptions, rng: &mut SmallRng) -> u64 {
+    fn read_wait_us(
+        &self,
+        heard_peers: bool,
+        options: &MembershipOptions,
+        rng: &mut SmallRng,
+    ) -> u64 {
         if self.unread > 0 {
             return rng.random_range(0..=read_spread_us(options));
         }
         if self.empty_reads > 0 {
-            let wait_us = EMPTY_WAIT_US << (self.empty_reads - 1).min(8);
+            let wait_us = EMPTY_REREAD_US << (self.empty_reads - 1).min(8);
             return jitter(wait_us.min(options.poll_us), rng);
         }
-        let stretch = if fresh { READ_STRETCH } else { 1 };
-        jitter(options.poll_us * stretch, rng)
+        let factor = if heard_peers { READ_INTERVAL_FACTOR } else { 1 };
+        jitter(options.poll_us * factor, rng)
     }
 
-    /// Notes that reading failed. What was seen standing still proves nothing any more, because
-    /// its owner may have been unable to write.
+    /// Records a failed read. Rows that stayed unchanged no longer count as dead, because their
+    /// owners may have been unable to write.
     pub(super) fn read_failed(
         &mut self,
         now_us: u64,
@@ -234,58 +252,60 @@
         rng: &mut SmallRng,
     ) {
         self.reading = None;
-        self.still.clear();
+        self.unchanged.clear();
         let wait_us = self.read_backoff.next_us(options.backoff_max_us, rng);
         self.next_read_us = now_us + wait_us;
     }
 
-    /// Notes the rows of a service; returns those that have stood unchanged for so long that their
-    /// owners must be dead.
-    pub(super) fn dead<'a>(
+    /// Records the rows of a service and returns those that have not changed for `row_dead_us`, so
+    /// that their owners must be dead.
+    pub(super) fn record_rows<'a>(
         &mut self,
         now_us: u64,
         service: &str,
         rows: &'a [MemberRow],
         options: &MembershipOptions,
     ) -> Vec<&'a MemberRow> {
-        let before = self.still.remove(service).unwrap_or_default();
+        let before = self.unchanged.remove(service).unwrap_or_default();
         let mut after = BTreeMap::new();
         let mut dead = Vec::new();
         for row in rows {
-            let same = before.get(&row.member.node).filter(|still| still.version == row.version);
-            let since_us = same.map_or(now_us, |still| still.since_us);
-            after.insert(row.member.node, Still { version: row.version, since_us });
+            let same =
+                before.get(&row.member.node).filter(|previous| previous.version == row.version);
+            let since_us = same.map_or(now_us, |previous| previous.since_us);
+            after.insert(row.member.node, UnchangedRow { version: row.version, since_us });
             if now_us.saturating_sub(since_us) >= options.row_dead_us {
                 dead.push(row);
             }
         }
-        self.still.insert(service.to_owned(), after);
+        self.unchanged.insert(service.to_owned(), after);
         dead
     }
 
-    /// Pulls the next read forward, after a freeze.
-    pub(super) fn read_soon(&mut self, now_us: u64, rng: &mut SmallRng) {
+    /// Moves the next read forward after a pause of the process.
+    pub(super) fn schedule_read(&mut self, now_us: u64, rng: &mut SmallRng) {
         self.next_read_us = self.next_read_us.min(now_us + rng.random_range(0..=US_PER_S));
-        self.still.clear();
+        self.unchanged.clear();
     }
 
-    /// When the own row is to be written next.
+    /// When the next write of the own row is due.
     pub(super) fn next_write_us(&self) -> u64 {
         self.next_write_us.max(self.writing.unwrap_or(0))
     }
 
-    /// When rows are to be read next.
+    /// When the next read is due.
     pub(super) fn next_read_us(&self) -> u64 {
         self.next_read_us.max(self.reading.unwrap_or(0))
     }
 }
 
-/// Over how long reads of a service are spread on a site that starts at once.
+/// The time over which the reads of a service are spread on a site whose nodes all start at once,
+/// in microseconds.
 fn read_spread_us(options: &MembershipOptions) -> u64 {
     u64::from(options.site_nodes) * US_PER_S / SITE_READS_PER_S
 }
 
-/// A time between 0.75 and 1.25 of `interval_us`.
+/// A random time between 0.75 and 1.25 times `interval_us`.
 pub(super) fn jitter(interval_us: u64, rng: &mut SmallRng) -> u64 {
     let quarter_us = interval_us / 4;
     rng.random_range(interval_us - quarter_us..=interval_us + quarter_us)
--- a/src/membership/state.rs
+++ b/src/membership/state.rs
@@ -1,4 +1,4 @@
-//! The state machine of the membership.
+//! The membership state machine.
 
 use std::net::SocketAddr;
 
@@ -12,56 +12,56 @@
 use super::interest::{Interests, ServiceTag};
 use super::member::{Member, MemberState};
 use super::options::MembershipOptions;
-use super::rows::{Rows, jitter};
+use super::rows::{RowSchedule, jitter};
 use super::view::View;
 use super::wire::{Body, ConfigurationMark, Record};
 
-/// How many peers hear at once of a change that is urgent.
+/// How many peers are notified of an urgent change immediately.
 const URGENT_PEERS: usize = 6;
-/// In how many rounds after that a new version of the configuration is told to more peers.
-const HELLO_REPEATS: u32 = 4;
+/// In how many further gossip rounds a new configuration version is announced to more peers.
+const HELLO_ROUNDS: u32 = 4;
 
-/// What a node tells about itself at its start.
+/// A node's description of itself at start-up.
 #[derive(Clone, Debug)]
 pub struct OwnMember {
-    /// This life of the node.
+    /// The ID of this incarnation.
     pub node: NodeId,
     /// The node's name.
     pub name: String,
-    /// The service of the target beside it.
+    /// The service of its target.
     pub service: String,
     /// The failure domain of its VM.
     pub failure_domain: String,
-    /// Where other nodes connect.
+    /// The address that other nodes connect to.
     pub peer_address: SocketAddr,
-    /// When this life began, in milliseconds since the Unix epoch.
+    /// When this incarnation started, in milliseconds since the Unix epoch.
     pub started_unix_ms: u64,
 }
 
-/// What one node knows of the others.
+/// One node's view of the other nodes.
 #[derive(Debug)]
 pub struct Membership {
     pub(super) own: Member,
-    /// How often this life has put itself after another at its name.
+    /// How often this incarnation moved its start time past that of another with its name.
     pub(super) claims: u32,
     pub(super) options: MembershipOptions,
     pub(super) interests: Interests,
     pub(super) view: View,
-    pub(super) rows: Rows,
+    pub(super) row_schedule: RowSchedule,
     pub(super) configuration: ConfigurationMark,
     next_gossip_us: u64,
     next_beat_us: u64,
     last_event_us: u64,
-    /// When a peer was last heard.
+    /// When the last gossip message of a peer arrived.
     pub(super) last_peer_us: Option<u64>,
     pub(super) superseded: bool,
-    /// In how many rounds the new version of the configuration is still told to more peers.
-    pub(super) repeat_hello: u32,
+    /// In how many more gossip rounds the new configuration version is announced.
+    pub(super) hello_rounds_left: u32,
     pub(super) contacts: Contacts,
 }
 
 impl Membership {
-    /// The membership of a node that starts now and knows of nobody.
+    /// The membership of a node that starts now and knows no other nodes.
     pub fn new(
         now_us: u64,
         own: OwnMember,
@@ -69,7 +69,7 @@
         rng: &mut SmallRng,
     ) -> Self {
         let interests = Interests::new(&own.service);
-        let rows = Rows::new(now_us, &own.service, &options, rng);
+        let row_schedule = RowSchedule::new(now_us, &own.service, &options, rng);
         let own = Member {
             node: own.node,
             name: own.name,
@@ -88,20 +88,20 @@
             claims: 0,
             interests,
             view: View::default(),
-            rows,
+            row_schedule,
             configuration: ConfigurationMark::default(),
             next_gossip_us: now_us + rng.random_range(0..=options.gossip_us),
             next_beat_us: now_us + jitter(options.beat_us, rng),
             last_event_us: now_us,
             last_peer_us: None,
             superseded: false,
-            repeat_hello: 0,
+            hello_rounds_left: 0,
             contacts: Contacts::default(),
             options,
         }
     }
 
-    /// Takes one event and adds what is to be done to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(
         &mut self,
         now_us: u64,
@@ -109,79 +109,82 @@
         rng: &mut SmallRng,
         out: &mut Vec<MembershipAction>,
     ) {
-        self.notice_freeze(now_us, rng);
+        self.detect_pause(now_us, rng);
         match event {
             MembershipEvent::TargetAnnounced { slots, connections } => {
-                self.take_target(now_us, slots, connections, rng, out);
+                self.update_target(now_us, slots, connections, rng, out);
             }
             MembershipEvent::RowsRead { service, rows } => {
-                self.take_rows(now_us, service, &rows, rng, out);
+                self.handle_rows(now_us, service, &rows, rng, out);
             }
             MembershipEvent::ReadFailed { .. } => {
-                self.rows.read_failed(now_us, &self.options, rng);
+                self.row_schedule.read_failed(now_us, &self.options, rng);
             }
             MembershipEvent::RowWritten { version } => {
-                self.rows.written(now_us, version, &self.options, rng);
+                self.row_schedule.write_succeeded(now_us, version, &self.options, rng);
             }
             MembershipEvent::RowConflict { version, present } => {
-                self.take_conflict(now_us, version, present.as_ref(), rng, out);
+                self.handle_conflict(now_us, version, present.as_ref(), rng, out);
             }
-            MembershipEvent::WriteFailed => self.rows.write_failed(now_us, &self.options, rng),
-            MembershipEvent::Gossip { bytes } => self.take_gossip(now_us, bytes, out),
-            MembershipEvent::Heard { node } => self.view.heard(node, now_us),
-            MembershipEvent::Configuration(mark) => self.take_configuration(mark, rng, out),
+            MembershipEvent::WriteFailed => {
+                self.row_schedule.write_failed(now_us, &self.options, rng);
+            }
+            MembershipEvent::Gossip { bytes } => self.handle_gossip(now_us, bytes, out),
+            MembershipEvent::Heard { node } => self.view.mark_alive(node, now_us),
+            MembershipEvent::Configuration(mark) => self.update_configuration(mark, rng, out),
             MembershipEvent::Leave => self.leave(now_us, rng, out),
             MembershipEvent::Tick => {}
             MembershipEvent::WantService(service) => {
                 if self.interests.add(service) {
-                    self.rows.want(now_us, service, &self.options, rng);
+                    self.row_schedule.add_service(now_us, service, &self.options, rng);
                 }
             }
         }
         self.run_timers(now_us, rng, out);
     }
 
-    /// When `Tick` is due next.
+    /// When the next `Tick` is due.
     pub fn next_wake_us(&self) -> u64 {
-        let wake_us = self.next_gossip_us.min(self.next_beat_us).min(self.rows.next_read_us());
-        if self.superseded { wake_us } else { wake_us.min(self.rows.next_write_us()) }
+        let wake_us =
+            self.next_gossip_us.min(self.next_beat_us).min(self.row_schedule.next_read_us());
+        if self.superseded { wake_us } else { wake_us.min(self.row_schedule.next_write_us()) }
     }
 
-    /// The known members of `service`, without this node itself.
+    /// The known members of `service`, except this node itself.
     pub fn members<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Member> {
         let members = self.view.entries().map(|entry| &entry.member);
         members.filter(move |member| member.service == service)
     }
 
-    /// How many members are known over all services.
+    /// How many members are known across all services.
     pub fn member_count(&self) -> usize {
         self.view.len()
     }
 
-    /// What this node tells about itself.
+    /// The record of this node itself.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// Whether this node leaves.
+    /// Whether this node is leaving.
     pub fn is_leaving(&self) -> bool {
         self.own.state == MemberState::Leaving
     }
 
-    /// A pause of the process must not be taken for the silence of everybody else.
-    fn notice_freeze(&mut self, now_us: u64, rng: &mut SmallRng) {
+    /// Detects a pause of the process, which must not be mistaken for the silence of all members.
+    fn detect_pause(&mut self, now_us: u64, rng: &mut SmallRng) {
         let pause_us = now_us.saturating_sub(self.last_event_us);
         self.last_event_us = now_us;
-        if pause_us < self.options.freeze_us {
+        if pause_us < self.options.pause_min_us {
             return;
         }
-        self.view.forgive(now_us, pause_us);
-        self.rows.read_soon(now_us, rng);
+        self.view.extend_last_alive(now_us, pause_us);
+        self.row_schedule.schedule_read(now_us, rng);
         self.next_beat_us = now_us;
         self.next_gossip_us = now_us;
     }
 
-    fn take_target(
+    fn update_target(
         &mut self,
         now_us: u64,
         slots: u32,
@@ -194,7 +197,7 @@
         }
         self.own.slots = slots;
         self.own.connections = connections;
-        self.change_own(now_us, rng, out);
+        self.publish_own_change(now_us, rng, out);
     }
 
     fn leave(&mut self, now_us: u64, rng: &mut SmallRng, out: &mut Vec<MembershipAction>) {
@@ -202,19 +205,24 @@
             return;
         }
         self.own.state = MemberState::Leaving;
-        self.change_own(now_us, rng, out);
+        self.publish_own_change(now_us, rng, out);
     }
 
-    /// Spreads a change of the own record.
-    fn change_own(&mut self, now_us: u64, rng: &mut SmallRng, out: &mut Vec<MembershipAction>) {
+    /// Publishes a change of the node's own record.
+    fn publish_own_change(
+        &mut self,
+        now_us: u64,
+        rng: &mut SmallRng,
+        out: &mut Vec<MembershipAction>,
+    ) {
         self.own.revision += 1;
         self.own.beat += 1;
-        self.rows.write_soon(now_us, rng);
+        self.row_schedule.schedule_write(now_us, rng);
         let record = Record { member: self.own.clone(), age_s: 0 };
         self.send_urgent(Body::Records(vec![record]), URGENT_PEERS, rng, out);
     }
 
-    fn take_configuration(
+    fn update_configuration(
         &mut self,
         mark: ConfigurationMark,
         rng: &mut SmallRng,
@@ -223,7 +231,7 @@
         let newer = mark.version > self.configuration.version;
         self.configuration = mark;
         if newer {
-            self.repeat_hello = HELLO_REPEATS;
+            self.hello_rounds_left = HELLO_ROUNDS;
             self.send_urgent(Body::Hello, URGENT_PEERS, rng, out);
         }
     }
@@ -235,23 +243,24 @@
             self.next_beat_us = now_us + jitter(self.options.beat_interval_us(size), rng);
         }
         if now_us >= self.next_gossip_us {
-            self.view.age(now_us, &self.options, out);
-            self.gossip(now_us, rng, out);
+            self.view.expire(now_us, &self.options, out);
+            self.run_gossip_round(now_us, rng, out);
             let interval_us = self.options.gossip_interval_us(self.view.len());
             self.next_gossip_us = now_us + jitter(interval_us, rng);
         }
-        // The row belongs to the later life now; rows are still read for the calls in flight.
-        if !self.superseded && self.rows.write_due(now_us, &self.options) {
-            let expected = self.rows.own_version;
+        // The row belongs to the later incarnation now. Rows are still read, because the calls in
+        // flight need members.
+        if !self.superseded && self.row_schedule.start_due_write(now_us, &self.options) {
+            let expected = self.row_schedule.own_version;
             out.push(MembershipAction::WriteRow { member: self.own.clone(), expected });
         }
         let (interests, view) = (&self.interests, &self.view);
         let own = interests.own();
-        self.rows.skip_told(|service| {
+        self.row_schedule.skip_known(|service| {
             let tag = ServiceTag::new(service);
             tag != own && view.size(tag) > 0
         });
-        if let Some(service) = self.rows.read_due(now_us, &self.options) {
+        if let Some(service) = self.row_schedule.start_due_read(now_us, &self.options) {
             out.push(MembershipAction::ReadRows { service });
         }
     }
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! What the membership makes of rows of the platform's table.
+//! Handles the rows that are read from the platform's table service.
 
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -8,11 +8,11 @@
 use super::member::{Member, MemberRow, MemberState};
 use super::state::Membership;
 
-/// How often a node puts itself after other lives it finds at its name.
+/// How often a node moves its start time past that of other incarnations with its name.
 const CLAIMS_MAX: u32 = 8;
 
 impl Membership {
-    pub(super) fn take_rows(
+    pub(super) fn handle_rows(
         &mut self,
         now_us: u64,
         service: &str,
@@ -24,26 +24,33 @@
             if row.member.service != service || !self.interests.has_service(service) {
                 continue;
             }
-            if row.member.same_place(&self.own) {
-                self.rows.own_version = Some(row.version);
-                self.rows.written_once |= row.member.node == self.own.node;
-                self.meet_namesake(&row.member, out);
+            if row.member.is_same_node(&self.own) {
+                self.row_schedule.own_version = Some(row.version);
+                self.row_schedule.written_once |= row.member.node == self.own.node;
+                self.resolve_name_conflict(&row.member, out);
                 continue;
             }
-            // Nobody knows when the row was written, so its member is given the full time to age out.
-            self.view.take(now_us, &row.member, now_us, &self.options, out);
+            // It is not known when the row was written, so the member gets the full time-out.
+            self.view.apply_record(now_us, &row.member, now_us, &self.options, out);
         }
-        self.delete_dead(now_us, service, rows, rng, out);
-        let fresh = self.is_kept_fresh(now_us);
+        self.delete_dead_row(now_us, service, rows, rng, out);
+        let heard_peers = self.heard_peers_recently(now_us);
         let own = self.interests.own();
-        let empty =
+        let has_empty_service =
             self.interests.tags().iter().any(|tag| *tag != own && self.view.size(*tag) == 0);
-        self.rows.read(now_us, service, fresh, empty, &self.options, rng);
+        self.row_schedule.read_succeeded(
+            now_us,
+            service,
+            heard_peers,
+            has_empty_service,
+            &self.options,
+            rng,
+        );
     }
 
-    /// Deletes one row of a member that is long dead. Many nodes see the same rows, so each of them
-    /// deletes only now and then.
-    fn delete_dead(
+    /// Deletes one row of a dead member. Many nodes see the same rows, so each of them deletes only
+    /// with a chance of one in the size of its service.
+    fn delete_dead_row(
         &mut self,
         now_us: u64,
         service: &str,
@@ -52,9 +59,9 @@
         out: &mut Vec<MembershipAction>,
     ) {
         let sharers = u32::try_from(self.view.size(self.interests.own()) + 1).unwrap_or(u32::MAX);
-        let mut dead = self.rows.dead(now_us, service, rows, &self.options);
+        let mut dead = self.row_schedule.record_rows(now_us, service, rows, &self.options);
         dead.retain(|row| self.view.get(row.member.node).is_none());
-        dead.retain(|row| !row.member.same_place(&self.own));
+        dead.retain(|row| !row.member.is_same_node(&self.own));
         let Some(row) = dead.choose(rng) else { return };
         if rng.random_ratio(1, sharers) {
             let key = row.member.row_key();
@@ -62,13 +69,13 @@
         }
     }
 
-    /// Whether peers were heard of late, so that the table is only the second source.
-    fn is_kept_fresh(&self, now_us: u64) -> bool {
+    /// Whether gossip arrived recently, so that the table service is only the secondary source.
+    fn heard_peers_recently(&self, now_us: u64) -> bool {
         let limit_us = 4 * self.options.beat_us;
         self.last_peer_us.is_some_and(|at_us| now_us.saturating_sub(at_us) < limit_us)
     }
 
-    pub(super) fn take_conflict(
+    pub(super) fn handle_conflict(
         &mut self,
         now_us: u64,
         version: Option<u64>,
@@ -77,22 +84,27 @@
         out: &mut Vec<MembershipAction>,
     ) {
         if let Some(member) = present {
-            self.rows.written_once |= member.node == self.own.node;
-            self.meet_namesake(member, out);
+            self.row_schedule.written_once |= member.node == self.own.node;
+            self.resolve_name_conflict(member, out);
         }
-        self.rows.conflicted(now_us, version, rng);
+        self.row_schedule.write_conflicted(now_us, version, rng);
     }
 
-    /// Settles which of two lives with one name counts.
+    /// Decides which of two incarnations with one name wins.
     ///
-    /// A life that has not written its row yet finds its predecessor, whatever the clocks say, and
-    /// puts itself after it. A life whose row was overwritten, or that meets a later life, has been
-    /// replaced while it was paused.
-    pub(super) fn meet_namesake(&mut self, other: &Member, out: &mut Vec<MembershipAction>) {
+    /// For an incarnation that has not written its row yet, the other one is its predecessor
+    /// whatever the clocks say, so it moves its own start time past the predecessor's. An
+    /// incarnation that has written its row and then finds a later one was replaced while it was
+    /// paused.
+    pub(super) fn resolve_name_conflict(
+        &mut self,
+        other: &Member,
+        out: &mut Vec<MembershipAction>,
+    ) {
         if other.node == self.own.node || !other.supersedes(&self.own) || self.superseded {
             return;
         }
-        if !self.rows.written_once && self.claims < CLAIMS_MAX {
+        if !self.row_schedule.written_once && self.claims < CLAIMS_MAX {
             self.claims += 1;
             self.own.started_unix_ms = other.started_unix_ms + 1;
             self.own.revision += 1;
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -1,4 +1,4 @@
-//! The members a node knows, how old the news of each is, and whom it remembers as gone.
+//! The known members, when each was last known to be alive, and tombstones of removed members.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,33 +13,33 @@
 /// A known member.
 #[derive(Debug)]
 pub(super) struct Entry {
-    /// What is known of it.
+    /// Its latest known record.
     pub(super) member: Member,
     /// The tag of its service.
     pub(super) tag: ServiceTag,
-    /// When the member showed the last sign of life known here.
+    /// When the member was last known to be alive.
     pub(super) alive_us: u64,
 }
 
-/// What is remembered of a member that is gone.
+/// What is kept of a removed member.
 #[derive(Debug)]
 struct Tombstone {
-    /// Its last beat; only a higher one brings it back.
+    /// Its last heartbeat counter; only a higher one brings the member back.
     beat: u64,
-    /// Whether it can never come back, because it left.
-    ended: bool,
-    /// Where it was reached.
+    /// Whether it left, so that it can never come back.
+    has_left: bool,
+    /// Its peer address.
     address: SocketAddr,
-    /// When it went.
-    gone_us: u64,
+    /// When it was removed.
+    removed_us: u64,
 }
 
-/// The members a node knows. The node itself is not among them.
+/// The members that a node knows, without the node itself.
 #[derive(Debug, Default)]
 pub(super) struct View {
     entries: BTreeMap<NodeId, Entry>,
     tombstones: BTreeMap<NodeId, Tombstone>,
-    /// How many members each service has.
+    /// The number of known members of each service.
     sizes: BTreeMap<ServiceTag, usize>,
 }
 
@@ -64,14 +64,17 @@
         self.entries.len()
     }
 
-    /// Whether news of `node` with this beat can say anything.
-    pub(super) fn may_take(&self, node: NodeId, beat: u64) -> bool {
-        self.tombstones.get(&node).is_none_or(|gone| !gone.ended && beat > gone.beat)
+    /// Whether information about `node` with this heartbeat counter may be applied, given its
+    /// tombstone.
+    pub(super) fn accepts(&self, node: NodeId, beat: u64) -> bool {
+        self.tombstones
+            .get(&node)
+            .is_none_or(|tombstone| !tombstone.has_left && beat > tombstone.beat)
     }
 
-    /// Takes a sign of life of a known member; false if the node is unknown or the sign's revision
-    /// is newer than the record.
-    pub(super) fn take_sign(
+    /// Applies a heartbeat of a known member; false if the node is unknown or the heartbeat's
+    /// revision is newer than that of the record.
+    pub(super) fn apply_heartbeat(
         &mut self,
         node: NodeId,
         beat: u64,
@@ -86,14 +89,14 @@
         revision <= entry.member.revision
     }
 
-    /// Notes that something arrived from `node` itself.
-    pub(super) fn heard(&mut self, node: NodeId, now_us: u64) {
+    /// Marks `node` as alive now because a message from it arrived.
+    pub(super) fn mark_alive(&mut self, node: NodeId, now_us: u64) {
         let Some(entry) = self.entries.get_mut(&node) else { return };
         entry.alive_us = entry.alive_us.max(now_us);
     }
 
-    /// Takes a whole record whose member was alive at `alive_us`.
-    pub(super) fn take(
+    /// Applies a full record whose member was alive at `alive_us`.
+    pub(super) fn apply_record(
         &mut self,
         now_us: u64,
         member: &Member,
@@ -102,7 +105,7 @@
         out: &mut Vec<MembershipAction>,
     ) {
         let tag = ServiceTag::new(&member.service);
-        if !self.may_take(member.node, member.beat) {
+        if !self.accepts(member.node, member.beat) {
             return;
         }
         if now_us.saturating_sub(alive_us) >= options.age_out_us(self.size(tag)) {
@@ -112,10 +115,10 @@
             self.update(member, alive_us, out);
             return;
         }
-        let earlier = self.entries.values().find(|known| known.member.same_place(member));
+        let earlier = self.entries.values().find(|known| known.member.is_same_node(member));
         let earlier = earlier.map(|known| (known.member.node, member.supersedes(&known.member)));
         if let Some((_, false)) = earlier {
-            // Not remembered as ended: a new life whose clock is behind corrects itself.
+            // No tombstone: a new incarnation whose clock is behind corrects its start time.
             return;
         }
         if let Some((node, true)) = earlier {
@@ -130,7 +133,7 @@
         out.push(MembershipAction::Added(member.clone()));
     }
 
-    /// Takes a record of a known member.
+    /// Applies a record of a known member.
     fn update(&mut self, member: &Member, alive_us: u64, out: &mut Vec<MembershipAction>) {
         let Some(entry) = self.entries.get_mut(&member.node) else { return };
         if member.beat > entry.member.beat {
@@ -149,38 +152,44 @@
         out.push(MembershipAction::Changed(entry.member.clone()));
     }
 
-    /// Lets go of members without a sign of life for too long, and of old memories.
-    pub(super) fn age(
+    /// Removes members whose heartbeats stopped, and expired tombstones.
+    pub(super) fn expire(
         &mut self,
         now_us: u64,
         options: &MembershipOptions,
         out: &mut Vec<MembershipAction>,
     ) {
-        let mut gone = Vec::new();
+        let mut silent = Vec::new();
         for entry in self.entries.values() {
             let age_out_us = options.age_out_us(self.size(entry.tag));
             if now_us.saturating_sub(entry.alive_us) >= age_out_us {
-                gone.push(entry.member.node);
+                silent.push(entry.member.node);
             }
         }
-        for node in gone {
+        for node in silent {
             self.remove(now_us, node, options, out);
         }
         let kept_us = options.tombstone_us;
-        let is_young = |gone: &Tombstone| now_us.saturating_sub(gone.gone_us) < kept_us;
-        self.tombstones.retain(|_, gone| gone.ended || is_young(gone));
+        let is_young =
+            |tombstone: &Tombstone| now_us.saturating_sub(tombstone.removed_us) < kept_us;
+        self.tombstones.retain(|_, tombstone| tombstone.has_left || is_young(tombstone));
     }
 
-    /// Moves every sign of life forward by `pause_us`, during which this node could not hear any.
-    pub(super) fn forgive(&mut self, now_us: u64, pause_us: u64) {
+    /// Moves the last-alive time of every member forward by `pause_us`, during which this node
+    /// could not receive anything.
+    pub(super) fn extend_last_alive(&mut self, now_us: u64, pause_us: u64) {
         for entry in self.entries.values_mut() {
             entry.alive_us = (entry.alive_us + pause_us).min(now_us);
         }
     }
 
-    /// Where members were reached that are gone and might come back.
+    /// The peer addresses of removed members that may come back.
     pub(super) fn lost_addresses(&self) -> Vec<SocketAddr> {
-        self.tombstones.values().filter(|gone| !gone.ended).map(|gone| gone.address).collect()
+        self.tombstones
+            .values()
+            .filter(|tombstone| !tombstone.has_left)
+            .map(|tombstone| tombstone.address)
+            .collect()
     }
 
     fn remove(
@@ -194,21 +203,28 @@
         if let Some(size) = self.sizes.get_mut(&entry.tag) {
             *size = size.saturating_sub(1);
         }
-        self.bury(now_us, &entry.member, options);
+        self.add_tombstone(now_us, &entry.member, options);
         out.push(MembershipAction::Gone(node));
     }
 
-    /// Remembers that `member` is gone, and that for ever if it was leaving.
-    fn bury(&mut self, now_us: u64, member: &Member, options: &MembershipOptions) {
-        let ended = member.state == MemberState::Leaving;
+    /// Adds a tombstone for `member`, which does not expire if the member was leaving.
+    fn add_tombstone(&mut self, now_us: u64, member: &Member, options: &MembershipOptions) {
+        let has_left = member.state == MemberState::Leaving;
         if self.tombstones.len() >= options.tombstones_max {
-            let oldest = self.tombstones.iter().min_by_key(|(_, gone)| (gone.ended, gone.gone_us));
+            let oldest = self
+                .tombstones
+                .iter()
+                .min_by_key(|(_, tombstone)| (tombstone.has_left, tombstone.removed_us));
             if let Some(oldest) = oldest.map(|(node, _)| *node) {
                 self.tombstones.remove(&oldest);
             }
         }
-        let tombstone =
-            Tombstone { beat: member.beat, ended, address: member.peer_address, gone_us: now_us };
+        let tombstone = Tombstone {
+            beat: member.beat,
+            has_left,
+            address: member.peer_address,
+            removed_us: now_us,
+        };
         self.tombstones.insert(member.node, tombstone);
     }
 }
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -1,4 +1,4 @@
-//! The gossip messages of the membership.
+//! The gossip messages and their encoding.
 
 use std::net::SocketAddr;
 
@@ -10,90 +10,94 @@
 use super::interest::ServiceTag;
 use super::member::Member;
 
-/// The longest gossip message that is read, in bytes.
+/// Maximum size of a gossip message that is decoded, in bytes.
 const MESSAGE_MAX_BYTES: usize = 64 * 1024;
 
-/// What a node has of the configuration.
+/// A node's configuration version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationMark {
-    /// The version in force; 0 for the settings of the start.
+    /// The version in force; 0 for the settings the node started with.
     pub version: u64,
-    /// Whether the node knows from the table, or from a peer that knows, that nothing newer was
-    /// accepted before it started.
+    /// Whether the node knows, from the table service or from a confirmed peer, that nothing newer
+    /// was accepted before it started.
     pub confirmed: bool,
 }
 
-/// Who sent a message.
+/// The sender of a message and its configuration version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Header {
     /// The sender.
     pub(super) from: NodeId,
-    /// Where the sender is reached.
+    /// The peer address of the sender.
     pub(super) address: SocketAddr,
-    /// What it has of the configuration.
+    /// The sender's configuration version.
     pub(super) configuration: ConfigurationMark,
 }
 
-/// A sign of life of a member.
+/// A member's heartbeat counter and its age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Sign {
-    /// The member's `NodeId`, always eight bytes, because random numbers do not get shorter.
+pub(super) struct Heartbeat {
+    /// The member's `NodeId`, always eight bytes, because variable-length encoding does not shorten
+    /// random numbers.
     #[serde(with = "postcard::fixint::le")]
     pub(super) node: u64,
-    /// Its beat.
+    /// Its heartbeat counter.
     pub(super) beat: u64,
     /// Its revision.
     pub(super) revision: u32,
-    /// How long ago the sender saw the beat rise, in seconds.
+    /// How long ago the sender saw the counter increase, in seconds.
     pub(super) age_s: u16,
 }
 
-/// A whole member.
+/// A full member record and its age.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Record {
     /// The member.
     pub(super) member: Member,
-    /// How long ago the sender saw the beat rise, in seconds.
+    /// How long ago the sender saw the counter increase, in seconds.
     pub(super) age_s: u16,
 }
 
-/// The signs of the members of one service.
+/// The heartbeats of the members of one service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Group {
     /// The service.
     pub(super) service: ServiceTag,
-    /// Whether every member known to the sender is in `signs`.
+    /// Whether `heartbeats` holds every member known to the sender.
     pub(super) whole: bool,
-    /// The signs.
-    pub(super) signs: Vec<Sign>,
+    /// The heartbeats.
+    #[serde(rename = "signs")]
+    pub(super) heartbeats: Vec<Heartbeat>,
 }
 
-/// Everything nodes tell each other about membership.
+/// The kinds of gossip messages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Body {
-    /// What the sender knows, for a reply with what it lacks.
+    /// What the sender knows; the reply holds what the sender lacks.
     Digest {
-        /// The sender itself.
-        own: Sign,
-        /// The service of the sender itself.
+        /// The sender's own heartbeat.
+        own: Heartbeat,
+        /// The sender's own service.
         own_service: ServiceTag,
-        /// What the sender knows of the services it asks about.
+        /// What the sender knows of the services that it asks about.
         groups: Vec<Group>,
     },
-    /// What the sender of a digest lacks, and what it is asked for in turn.
+    /// What the sender of a digest lacks, and what the replying node requests from it.
     Reply {
-        /// Newer signs of members the asker has.
-        signs: Vec<Sign>,
-        /// Members the asker lacks or has an older revision of.
+        /// Newer heartbeats of members that the receiver knows.
+        #[serde(rename = "signs")]
+        heartbeats: Vec<Heartbeat>,
+        /// Members that the receiver lacks or has an older revision of.
         records: Vec<Record>,
-        /// Members the replying node lacks.
+        /// Members whose records the replying node requests.
         wanted: Vec<NodeId>,
-        /// Nodes that may know members of services of which the asker knows none.
-        leads: Vec<SocketAddr>,
+        /// Addresses of nodes that may know members of services of which the receiver knows none.
+        #[serde(rename = "leads")]
+        referrals: Vec<SocketAddr>,
     },
-    /// Whole members.
+    /// Full member records.
     Records(Vec<Record>),
-    /// Nothing but the header.
+    /// Only the header.
     Hello,
 }
 
@@ -102,18 +106,18 @@
 pub(super) struct Gossip {
     /// The sender.
     pub(super) header: Header,
-    /// What it says.
+    /// The content.
     pub(super) body: Body,
 }
 
 impl Gossip {
-    /// The message in bytes.
+    /// Encodes the message.
     pub(super) fn encode(&self) -> Vec<u8> {
-        // Encoding plain data into a growing buffer has no way to fail.
+        // Encoding plain data into a growable buffer cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// The message in `bytes`, or none where they make no sense.
+    /// Decodes a message; none if it is malformed or too long.
     pub(super) fn decode(bytes: &[u8]) -> Option<Self> {
         if bytes.len() > MESSAGE_MAX_BYTES {
             return None;
@@ -122,12 +126,12 @@
     }
 }
 
-/// An age on the wire, rounded up so that it never gets younger by travelling.
+/// Converts an age to seconds, rounded up so that relaying never makes it younger.
 pub(super) fn age_s(age_us: u64) -> u16 {
     u16::try_from(age_us.div_ceil(US_PER_S)).unwrap_or(u16::MAX)
 }
 
-/// An age from the wire.
+/// Converts an age in seconds to microseconds.
 pub(super) fn age_us(age_s: u16) -> u64 {
     u64::from(age_s) * US_PER_S
 }
