--- a/src/configuration/document.rs
+++ b/src/configuration/document.rs
@@ -1,16 +1,16 @@
-//! An accepted configuration as it stands in the table and travels between nodes.
+//! An accepted configuration as it is stored in the table service and sent between nodes.
 
 use serde::{Deserialize, Serialize};
 
-/// How many earlier acceptances a row remembers.
+/// Maximum number of earlier acceptances in a row's history.
 pub(super) const HISTORY_MAX: usize = 16;
 
 /// One acceptance, without its document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// The version that was accepted.
+    /// The accepted version.
     pub version: u64,
-    /// The random number of the submission, by which its sender recognises it.
+    /// The random ID of the submission, by which its sender recognises it.
     pub submission: u64,
     /// Who submitted it.
     pub by: String,
@@ -21,34 +21,34 @@
 /// An accepted configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// What was accepted, when and by whom.
+    /// The version, who submitted it and when.
     pub entry: HistoryEntry,
     /// The document as JSON text: the base and the overlay of each site.
     pub document: String,
-    /// Earlier acceptances, the latest first.
+    /// Earlier acceptances, newest first.
     pub history: Vec<HistoryEntry>,
 }
 
 impl Accepted {
-    /// The version.
+    /// The accepted version.
     pub fn version(&self) -> u64 {
         self.entry.version
     }
 
-    /// The entry of `submission`, if it was accepted and is still remembered.
+    /// The entry of `submission` if it was accepted and is still in the history.
     pub fn find(&self, submission: u64) -> Option<&HistoryEntry> {
         let mut entries = std::iter::once(&self.entry).chain(&self.history);
         entries.find(|entry| entry.submission == submission)
     }
 
-    /// What the history of the next acceptance is.
+    /// The history for the acceptance that follows this one.
     pub(super) fn next_history(&self) -> Vec<HistoryEntry> {
         let entries = std::iter::once(&self.entry).chain(&self.history);
         entries.take(HISTORY_MAX).cloned().collect()
     }
 }
 
-/// The value of the table's row.
+/// The value of the row.
 #[derive(Serialize, Deserialize)]
 struct RowValue {
     #[serde(flatten)]
@@ -60,7 +60,7 @@
 }
 
 impl Accepted {
-    /// The value of the table's row; none if the document is not JSON.
+    /// The value of the row; none if the document is not JSON.
     pub fn to_value(&self) -> Option<serde_json::Value> {
         let value = RowValue {
             entry: self.entry.clone(),
@@ -72,7 +72,7 @@
 }
 
 impl TableRow {
-    /// The row in a value of the table, or none where it makes no sense.
+    /// Parses the value of a row; none if it is malformed.
     pub fn parse(value: &serde_json::Value, row_version: u64) -> Option<Self> {
         let RowValue { entry, document, history } = RowValue::deserialize(value).ok()?;
         let accepted = Accepted { entry, document: document.to_string(), history };
@@ -80,10 +80,10 @@
     }
 }
 
-/// The table's row of the configuration.
+/// The row of the accepted configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TableRow {
-    /// The version the table service gave the row; not the configuration's version.
+    /// The version that the table service assigned to the row; not the configuration's version.
     pub row_version: u64,
     /// The value.
     pub accepted: Accepted,
--- a/src/configuration/event.rs
+++ b/src/configuration/event.rs
@@ -1,4 +1,4 @@
-//! What the configuration is told and what it asks for.
+//! The events and actions of the configuration state machine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,53 +9,53 @@
 
 use super::document::{Accepted, HistoryEntry, TableRow};
 
-/// What came of reading the row.
+/// The outcome of reading the row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RowRead {
     /// The row.
     Present(TableRow),
-    /// There is no row: nothing was ever accepted.
+    /// There is no row: nothing has ever been accepted.
     Absent,
-    /// The table service did not answer.
+    /// The read failed, or the row could not be parsed.
     Failed,
 }
 
-/// What came of writing the row.
+/// The outcome of writing the row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RowWrite {
     /// It was written.
     Written {
-        /// The row's version now.
+        /// The new version of the row.
         row_version: u64,
     },
-    /// Another version stands there.
+    /// The row has another version than expected.
     Conflict {
-        /// What stands there, or none.
+        /// The current row, or none if there is none or it cannot be parsed.
         present: Option<TableRow>,
     },
-    /// It certainly was not written.
+    /// It was definitely not written.
     NotApplied,
-    /// It may have been written, now or later.
+    /// It may have been written, or may still be.
     MayHaveBeenApplied,
 }
 
-/// What a peer says it has.
+/// The configuration version that a peer reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerVersion {
-    /// Where the peer is reached.
+    /// The peer's address.
     pub peer: SocketAddr,
     /// The version it has in force.
     pub version: u64,
-    /// Whether it knows that nothing newer was accepted before it started.
+    /// Whether the peer knows that nothing newer was accepted before it started.
     pub confirmed: bool,
 }
 
-/// A document an operator wants in force.
+/// A document that an operator submits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submit {
-    /// A random number that is drawn once for the submission.
+    /// A random ID, drawn once for the submission.
     pub submission: u64,
-    /// The version the operator's change is based on.
+    /// The version that the operator's change is based on.
     pub based_on: u64,
     /// Who submits it.
     pub by: String,
@@ -65,47 +65,47 @@
     pub document: String,
 }
 
-/// What became of a submission.
+/// The outcome of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// It is accepted.
+    /// It was accepted.
     Accepted {
         /// Its version.
         version: u64,
     },
-    /// It lost: something else was accepted since the version it is based on.
+    /// It was refused because the version it is based on is not the latest accepted one.
     Conflict {
-        /// What it lost to; none where the version it is based on was never accepted.
+        /// The latest acceptance; none if none is known.
         lost_to: Option<HistoryEntry>,
     },
-    /// The document makes no valid settings.
+    /// The document cannot be turned into valid rules.
     Invalid {
-        /// Why.
+        /// The reason.
         cause: String,
     },
-    /// It was not accepted and will not be, because the table service is away.
+    /// It was not accepted and will not be, because the table service is unavailable.
     StoreAway,
-    /// It may have been accepted, now or later: the table service does not tell.
+    /// It may have been accepted, or may still be: a write got no definite answer.
     Unknown,
-    /// This node is busy with another submission.
+    /// This node is processing another submission.
     Busy,
 }
 
-/// Something the configuration is told.
+/// An input of the configuration state machine.
 #[derive(Clone, Debug)]
 pub enum ConfigurationEvent<'a> {
     /// The row was read.
     TableRead(RowRead),
-    /// The row was written, or not.
+    /// A write of the row ended.
     TableWritten {
-        /// The random number of the submission, from the value that was to be written.
+        /// The ID of the submission, from the value that was to be written.
         submission: u64,
-        /// What came of it.
+        /// The outcome of the write.
         write: RowWrite,
     },
-    /// A peer has told its version.
+    /// A peer reported its version.
     PeerHas(PeerVersion),
-    /// A message of this module arrived from a peer.
+    /// A configuration message arrived from a peer.
     Peer(&'a [u8]),
     /// An operator submits a document.
     Submit(Submit),
@@ -113,44 +113,44 @@
     Tick,
 }
 
-/// Something the configuration asks for.
+/// An output of the configuration state machine, to be carried out by the node.
 #[derive(Clone, Debug)]
 pub enum ConfigurationAction {
     /// Read the row.
     ReadTable,
     /// Write the row.
     WriteTable {
-        /// The version that must stand there, or none where the row must not exist.
+        /// The expected version of the row, or none if the row must not exist.
         expected: Option<u64>,
         /// The value.
         accepted: Arc<Accepted>,
     },
-    /// Send a message of this module to a peer; it may get lost.
+    /// Send a configuration message to a peer. Delivery is not guaranteed.
     SendPeer {
-        /// Where the peer is reached.
+        /// The peer's address.
         to: SocketAddr,
         /// The message.
         bytes: Vec<u8>,
     },
-    /// These rules are in force from now on.
+    /// New rules are in force.
     InForce {
         /// Their version.
         version: u64,
         /// The rules.
         rules: Arc<Rules>,
     },
-    /// Whether the node may serve changed.
+    /// The node's readiness changed; the value says whether it may serve.
     Ready(bool),
-    /// A version was accepted that this node cannot use; it must not serve.
+    /// An accepted version cannot be used by this node, which must not serve.
     Unusable {
         /// The version.
         version: u64,
-        /// Why.
+        /// The reason.
         cause: String,
     },
-    /// What became of a submission.
+    /// A submission ended.
     Submitted {
-        /// The random number of the submission.
+        /// The ID of the submission.
         submission: u64,
         /// The outcome.
         outcome: SubmitOutcome,
--- a/src/configuration/fetch.rs
+++ b/src/configuration/fetch.rs
@@ -1,4 +1,4 @@
-//! Getting the document of a version that peers say they have.
+//! Fetches the document of the newest version from a peer that reports it.
 
 use std::net::SocketAddr;
 
@@ -6,21 +6,21 @@
 
 use super::document::Accepted;
 
-/// The longest message that is read, in bytes.
+/// Maximum size of a message that is decoded, in bytes.
 const MESSAGE_MAX_BYTES: usize = 4 << 20;
-/// How many peers with the newest version are remembered.
-const HOLDERS_MAX: usize = 8;
-/// How long a peer may take to send a document, in microseconds.
-const FETCH_US: u64 = 1_000_000;
+/// Maximum number of peers kept that have the newest version.
+const SOURCES_MAX: usize = 8;
+/// How long to wait for a document before another peer is asked, in microseconds.
+const FETCH_TIMEOUT_US: u64 = 1_000_000;
 
-/// What nodes send each other about the configuration.
+/// The configuration messages between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum PeerMessage {
-    /// Please send the document if yours is of this version or a later one.
+    /// Requests the document if the receiver has at least a given version.
     Ask {
-        /// Where to send it.
+        /// The address to send the document to.
         reply_to: SocketAddr,
-        /// The least version that is of use.
+        /// The lowest version that is of use.
         at_least: u64,
     },
     /// The document in force at the sender.
@@ -28,13 +28,13 @@
 }
 
 impl PeerMessage {
-    /// The message in bytes.
+    /// Encodes the message.
     pub(super) fn encode(&self) -> Vec<u8> {
-        // Encoding plain data into a growing buffer has no way to fail.
+        // Encoding plain data into a growable buffer cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// The message in `bytes`, or none where they make no sense.
+    /// Decodes a message; none if it is malformed or too long.
     pub(super) fn decode(bytes: &[u8]) -> Option<Self> {
         if bytes.len() > MESSAGE_MAX_BYTES {
             return None;
@@ -43,60 +43,62 @@
     }
 }
 
-/// The newest version heard of, who has it, and whether it has been asked for.
+/// The newest known version, the peers that have it, and the outstanding request for it.
 #[derive(Debug, Default)]
 pub(super) struct Fetch {
     newest: u64,
     heard_us: u64,
-    holders: Vec<SocketAddr>,
-    /// Which of the holders is asked next.
-    next: usize,
-    asked_until_us: Option<u64>,
+    sources: Vec<SocketAddr>,
+    /// Index of the source that is asked next, before wrapping around.
+    next_source: usize,
+    request_deadline_us: Option<u64>,
 }
 
 impl Fetch {
-    /// The newest version heard of.
+    /// The newest known version.
     pub(super) fn newest(&self) -> u64 {
         self.newest
     }
 
-    /// When the newest version was first heard of.
+    /// When the newest version was first reported.
     pub(super) fn heard_us(&self) -> u64 {
         self.heard_us
     }
 
-    /// Notes that `peer`, or the table where there is none, has `version`.
-    pub(super) fn hear(&mut self, now_us: u64, peer: Option<SocketAddr>, version: u64) {
+    /// Records that `version` exists and, if `peer` is given, that this peer has it.
+    pub(super) fn observe(&mut self, now_us: u64, peer: Option<SocketAddr>, version: u64) {
         if version > self.newest {
             self.newest = version;
             self.heard_us = now_us;
-            self.holders.clear();
-            self.next = 0;
+            self.sources.clear();
+            self.next_source = 0;
         }
         let Some(peer) = peer else { return };
-        let room = self.holders.len() < HOLDERS_MAX;
-        if version == self.newest && room && !self.holders.contains(&peer) {
-            self.holders.push(peer);
+        let room = self.sources.len() < SOURCES_MAX;
+        if version == self.newest && room && !self.sources.contains(&peer) {
+            self.sources.push(peer);
         }
     }
 
-    /// The peer to ask now, if a document newer than `in_force` is missing and none is on its way.
-    pub(super) fn ask(&mut self, now_us: u64, in_force: u64) -> Option<SocketAddr> {
-        if self.newest <= in_force || self.asked_until_us.is_some_and(|until_us| now_us < until_us)
+    /// The peer to ask now, if a version newer than `in_force` is known and no request for it is
+    /// outstanding. The request counts as started.
+    pub(super) fn start_request(&mut self, now_us: u64, in_force: u64) -> Option<SocketAddr> {
+        if self.newest <= in_force
+            || self.request_deadline_us.is_some_and(|deadline_us| now_us < deadline_us)
         {
             return None;
         }
-        let peer = *self.holders.get(self.next % self.holders.len().max(1))?;
-        self.next += 1;
-        self.asked_until_us = Some(now_us + FETCH_US);
+        let peer = *self.sources.get(self.next_source % self.sources.len().max(1))?;
+        self.next_source += 1;
+        self.request_deadline_us = Some(now_us + FETCH_TIMEOUT_US);
         Some(peer)
     }
 
-    /// When the next peer is due to be asked.
+    /// When the outstanding request times out and the next peer is due to be asked.
     pub(super) fn next_wake_us(&self, in_force: u64) -> Option<u64> {
-        if self.newest <= in_force || self.holders.is_empty() {
+        if self.newest <= in_force || self.sources.is_empty() {
             return None;
         }
-        self.asked_until_us
+        self.request_deadline_us
     }
 }
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,9 +1,9 @@
-//! Which configuration is in force, how a new one is accepted, and how it reaches every node.
+//! Accepts configurations submitted by operators and distributes them to all nodes.
 //!
 //! [`Configuration`] is a state machine without I/O, clock or hidden randomness. A document is
-//! accepted by compare-and-set of one row in the platform's table. Nodes tell each other the
-//! version they have with every gossip message; who hears of a higher one fetches the document
-//! once, from a peer or from the table. A node takes only higher versions.
+//! accepted by compare-and-set of one row in the platform's table service. Every gossip message
+//! carries the version of its sender; a node that learns of a higher one fetches the document once,
+//! from a peer or from the table service. A node only ever moves to a higher version.
 
 mod document;
 mod event;
--- a/src/configuration/site.rs
+++ b/src/configuration/site.rs
@@ -1,10 +1,11 @@
-//! How a submitted document becomes the rules of one site.
+//! Builds the rules of one site from a submitted document.
 
 use crate::config;
 
 use super::state::BuildRules;
 
-/// Makes the rules of `site` from submitted documents; problems stand a line each in its error.
+/// Returns a function that builds the rules of `site` from a submitted document. Its error lists
+/// the problems, one per line.
 pub fn site_rules(site: &str) -> BuildRules {
     let site = site.to_owned();
     Box::new(move |text| {
--- a/src/configuration/state.rs
+++ b/src/configuration/state.rs
@@ -1,4 +1,4 @@
-//! The state machine of the configuration.
+//! The configuration state machine.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -18,63 +18,66 @@
 use super::fetch::{Fetch, PeerMessage};
 use super::submission::Submission;
 
-/// Makes the rules of this node's site from the JSON text of a document, or says why it cannot.
+/// Builds the rules of this node's site from the JSON text of a document, or returns the reason why
+/// that is not possible.
 pub type BuildRules = Box<dyn Fn(&str) -> Result<Rules, String> + Send>;
 
-/// Intervals of the configuration.
+/// Intervals and time-outs of the configuration.
 #[derive(Clone, Debug, Builder)]
 pub struct ConfigurationOptions {
-    /// Where other nodes connect to this one.
+    /// The address that other nodes connect to.
     pub reply_to: SocketAddr,
-    /// How often the row is read, in microseconds, on a small site.
+    /// How often each node of a small site reads the row, in microseconds.
     #[builder(default = 12 * US_PER_S)]
     pub poll_us: u64,
-    /// How many nodes the site is expected to have; a large site reads less often per node.
+    /// The expected number of nodes of the site. On a large site, each node reads less often.
     #[builder(default = 20)]
     pub site_nodes: u32,
-    /// How long the node may serve with an older version than a peer has, in microseconds.
+    /// How long the node may serve after a newer version became known, in microseconds.
     #[builder(default = 3 * US_PER_S)]
     pub grace_us: u64,
-    /// After how long a node whose peers all started as cold as itself, with the table service
-    /// away, takes their common version for the accepted one, in microseconds.
+    /// After how long a node may serve without a confirmed version, in microseconds, when the table
+    /// service is unavailable and no peer has a confirmed version either, as after a cold start of
+    /// the whole site.
     #[builder(default = 10 * US_PER_S)]
     pub cold_start_us: u64,
-    /// How long a submission is tried, in microseconds.
+    /// Timeout of a submission, in microseconds.
     #[builder(default = 20 * US_PER_S)]
     pub submit_us: u64,
-    /// How long a read of the row may take, in microseconds.
+    /// Timeout of a read of the row, in microseconds.
     #[builder(default = 10 * US_PER_S)]
     pub store_timeout_us: u64,
-    /// A pause between two events that counts as a freeze of the process, in microseconds.
+    /// The shortest gap between two events that counts as a pause of the process, in microseconds.
     #[builder(default = 5 * US_PER_S)]
-    pub freeze_us: u64,
+    pub pause_min_us: u64,
 }
 
-/// The nodes of a site up to which every node reads the row at the plain interval.
+/// The largest number of nodes of a site at which the read interval is not scaled up.
 const SMALL_SITE_NODES: u64 = 20;
-/// How much less often a node of a large site reads the row, at most.
-const READ_STRETCH_MAX: u64 = 10;
-/// The first reads a second of a whole site that starts at once; the membership makes as many.
+/// The largest factor by which the read interval of a large site is scaled up.
+const READ_INTERVAL_FACTOR_MAX: u64 = 10;
+/// The first reads per second of a whole site whose nodes all start at once. The membership adds as
+/// many reads.
 const SITE_FIRST_READS_PER_S: u64 = 800;
-/// The first backoff while the table service is away, in microseconds.
+/// The base of the backoff while the table service is unavailable, in microseconds.
 const BACKOFF_US: u64 = US_PER_S;
 
-/// The configuration in force at one node.
+/// The configuration of one node: what is in force, what is being fetched and what is submitted.
 pub struct Configuration {
     options: ConfigurationOptions,
     build: BuildRules,
     accepted: Option<Arc<Accepted>>,
-    /// A version that is accepted but cannot be used here.
-    unusable: u64,
+    /// The newest accepted version that this node cannot use; 0 if there is none.
+    unusable_version: u64,
     fetch: Fetch,
-    /// Whether the table, or a peer that knows, has told the version since the start or the last
-    /// freeze.
+    /// Whether the table service or a confirmed peer has reported the accepted version since the
+    /// start or the last pause of the process.
     confirmed: bool,
-    /// Since when peers are heard that know no more than this node.
+    /// When the first peer reported its version after the start or the last pause.
     cold_since_us: Option<u64>,
     ready: bool,
     next_read_us: u64,
-    reading_until_us: Option<u64>,
+    read_deadline_us: Option<u64>,
     read_failures: u32,
     submission: Option<Submission>,
     last_event_us: u64,
@@ -92,7 +95,8 @@
 }
 
 impl Configuration {
-    /// A node that has the settings of its start, version 0, and may not serve yet.
+    /// The configuration of a node that starts: version 0, the settings the node started with. The
+    /// node may not serve yet.
     pub fn new(
         now_us: u64,
         options: ConfigurationOptions,
@@ -103,13 +107,13 @@
         Self {
             build,
             accepted: None,
-            unusable: 0,
+            unusable_version: 0,
             fetch: Fetch::default(),
             confirmed: false,
             cold_since_us: None,
             ready: false,
             next_read_us: now_us + rng.random_range(0..=spread_us),
-            reading_until_us: None,
+            read_deadline_us: None,
             read_failures: 0,
             submission: None,
             last_event_us: now_us,
@@ -117,12 +121,12 @@
         }
     }
 
-    /// The version in force; 0 for the settings of the start.
+    /// The version in force; 0 for the settings the node started with.
     pub fn version(&self) -> u64 {
         self.accepted.as_ref().map_or(0, |accepted| accepted.version())
     }
 
-    /// What is in force, or none for the settings of the start.
+    /// The configuration in force, or none for the settings the node started with.
     pub fn accepted(&self) -> Option<&Arc<Accepted>> {
         self.accepted.as_ref()
     }
@@ -137,7 +141,7 @@
         self.ready
     }
 
-    /// Takes one event and adds what is to be done to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(
         &mut self,
         now_us: u64,
@@ -145,25 +149,25 @@
         rng: &mut SmallRng,
         out: &mut Vec<ConfigurationAction>,
     ) {
-        self.notice_freeze(now_us);
+        self.detect_pause(now_us);
         match event {
-            ConfigurationEvent::TableRead(read) => self.take_read(now_us, &read, rng, out),
+            ConfigurationEvent::TableRead(read) => self.handle_read(now_us, &read, rng, out),
             ConfigurationEvent::TableWritten { submission, write } => {
-                self.take_write(now_us, submission, &write, out);
+                self.handle_write(now_us, submission, &write, out);
             }
-            ConfigurationEvent::PeerHas(peer) => self.take_peer(now_us, &peer),
-            ConfigurationEvent::Peer(bytes) => self.take_message(now_us, bytes, out),
+            ConfigurationEvent::PeerHas(peer) => self.handle_peer_version(now_us, &peer),
+            ConfigurationEvent::Peer(bytes) => self.handle_message(now_us, bytes, out),
             ConfigurationEvent::Submit(submit) => self.submit(now_us, submit, out),
             ConfigurationEvent::Tick => {}
         }
         self.run_timers(now_us, out);
     }
 
-    /// When `Tick` is due next.
+    /// When the next `Tick` is due.
     pub fn next_wake_us(&self) -> u64 {
-        let mut wake_us = self.next_read_us.max(self.reading_until_us.unwrap_or(0));
-        // A quiet time must not be taken for a freeze of the process.
-        wake_us = wake_us.min(self.last_event_us + self.options.freeze_us / 2);
+        let mut wake_us = self.next_read_us.max(self.read_deadline_us.unwrap_or(0));
+        // A time without events must not be mistaken for a pause of the process.
+        wake_us = wake_us.min(self.last_event_us + self.options.pause_min_us / 2);
         if let Some(at_us) = self.fetch.next_wake_us(self.version()) {
             wake_us = wake_us.min(at_us);
         }
@@ -181,11 +185,11 @@
         wake_us
     }
 
-    /// After a pause of the process, others may have gone on without this node.
-    fn notice_freeze(&mut self, now_us: u64) {
+    /// Detects a pause of the process, during which a newer version may have been accepted.
+    fn detect_pause(&mut self, now_us: u64) {
         let pause_us = now_us.saturating_sub(self.last_event_us);
         self.last_event_us = now_us;
-        if pause_us < self.options.freeze_us {
+        if pause_us < self.options.pause_min_us {
             return;
         }
         self.confirmed = false;
@@ -193,26 +197,26 @@
         self.next_read_us = now_us;
     }
 
-    fn take_read(
+    fn handle_read(
         &mut self,
         now_us: u64,
         read: &RowRead,
         rng: &mut SmallRng,
         out: &mut Vec<ConfigurationAction>,
     ) {
-        self.reading_until_us = None;
+        self.read_deadline_us = None;
         match read {
-            RowRead::Present(row) => self.take_row(now_us, row, out),
+            RowRead::Present(row) => self.handle_row(now_us, row, out),
             RowRead::Absent => self.confirmed = true,
             RowRead::Failed => {}
         }
-        self.plan_read(now_us, matches!(read, RowRead::Failed), rng);
+        self.schedule_read(now_us, matches!(read, RowRead::Failed), rng);
         let Some(submission) = &mut self.submission else { return };
-        let outcome = submission.take_read(now_us, read, self.accepted.as_deref(), out);
+        let outcome = submission.handle_read(now_us, read, self.accepted.as_deref(), out);
         self.finish(now_us, outcome, out);
     }
 
-    fn plan_read(&mut self, now_us: u64, failed: bool, rng: &mut SmallRng) {
+    fn schedule_read(&mut self, now_us: u64, failed: bool, rng: &mut SmallRng) {
         if failed {
             self.read_failures = self.read_failures.saturating_add(1);
             let ceiling_us = BACKOFF_US << self.read_failures.min(6);
@@ -221,52 +225,59 @@
         }
         self.read_failures = 0;
         let nodes = u64::from(self.options.site_nodes);
-        let stretched_us = self.options.poll_us * nodes / SMALL_SITE_NODES;
-        let longest_us = self.options.poll_us * READ_STRETCH_MAX;
-        let wait_us = stretched_us.clamp(self.options.poll_us, longest_us);
+        let scaled_us = self.options.poll_us * nodes / SMALL_SITE_NODES;
+        let longest_us = self.options.poll_us * READ_INTERVAL_FACTOR_MAX;
+        let wait_us = scaled_us.clamp(self.options.poll_us, longest_us);
         self.next_read_us = now_us + rng.random_range(wait_us * 3 / 4..=wait_us * 5 / 4);
     }
 
-    fn take_row(&mut self, now_us: u64, row: &TableRow, out: &mut Vec<ConfigurationAction>) {
-        self.fetch.hear(now_us, None, row.accepted.version());
+    fn handle_row(&mut self, now_us: u64, row: &TableRow, out: &mut Vec<ConfigurationAction>) {
+        self.fetch.observe(now_us, None, row.accepted.version());
         self.confirmed = true;
-        self.take(&row.accepted, out);
+        self.apply(&row.accepted, out);
     }
 
-    fn take_write(
+    fn handle_write(
         &mut self,
         now_us: u64,
-        number: u64,
+        id: u64,
         write: &RowWrite,
         out: &mut Vec<ConfigurationAction>,
     ) {
         if let RowWrite::Conflict { present: Some(row) } = write {
-            self.take_row(now_us, row, out);
+            self.handle_row(now_us, row, out);
         }
-        let submission = self.submission.as_mut().filter(|present| present.number() == number);
+        let submission = self.submission.as_mut().filter(|present| present.id() == id);
         let Some(submission) = submission else { return };
-        let outcome = submission.take_write(now_us, write);
+        let outcome = submission.handle_write(now_us, write);
         self.finish(now_us, outcome, out);
     }
 
-    fn take_peer(&mut self, now_us: u64, peer: &PeerVersion) {
-        self.fetch.hear(now_us, Some(peer.peer), peer.version);
+    fn handle_peer_version(&mut self, now_us: u64, peer: &PeerVersion) {
+        self.fetch.observe(now_us, Some(peer.peer), peer.version);
         self.confirmed |= peer.confirmed;
         self.cold_since_us.get_or_insert(now_us);
     }
 
-    fn take_message(&mut self, now_us: u64, bytes: &[u8], out: &mut Vec<ConfigurationAction>) {
+    fn handle_message(&mut self, now_us: u64, bytes: &[u8], out: &mut Vec<ConfigurationAction>) {
         match PeerMessage::decode(bytes) {
-            Some(PeerMessage::Ask { reply_to, at_least }) => self.answer(reply_to, at_least, out),
+            Some(PeerMessage::Ask { reply_to, at_least }) => {
+                self.send_document(reply_to, at_least, out);
+            }
             Some(PeerMessage::Content(accepted)) => {
-                self.fetch.hear(now_us, None, accepted.version());
-                self.take(&accepted, out);
+                self.fetch.observe(now_us, None, accepted.version());
+                self.apply(&accepted, out);
             }
             None => {}
         }
     }
 
-    fn answer(&self, reply_to: SocketAddr, at_least: u64, out: &mut Vec<ConfigurationAction>) {
+    fn send_document(
+        &self,
+        reply_to: SocketAddr,
+        at_least: u64,
+        out: &mut Vec<ConfigurationAction>,
+    ) {
         let Some(accepted) = &self.accepted else { return };
         if accepted.version() < at_least {
             return;
@@ -275,10 +286,10 @@
         out.push(ConfigurationAction::SendPeer { to: reply_to, bytes });
     }
 
-    /// Puts a document in force if it is newer; this is the only place that does.
-    fn take(&mut self, accepted: &Accepted, out: &mut Vec<ConfigurationAction>) {
+    /// Puts a document in force if it is newer. Nothing else changes the version in force.
+    fn apply(&mut self, accepted: &Accepted, out: &mut Vec<ConfigurationAction>) {
         let version = accepted.version();
-        if version <= self.version() || version <= self.unusable {
+        if version <= self.version() || version <= self.unusable_version {
             return;
         }
         match (self.build)(&accepted.document) {
@@ -287,7 +298,7 @@
                 out.push(ConfigurationAction::InForce { version, rules: Arc::new(rules) });
             }
             Err(cause) => {
-                self.unusable = version;
+                self.unusable_version = version;
                 out.push(ConfigurationAction::Unusable { version, cause });
             }
         }
@@ -300,7 +311,7 @@
             out.push(ConfigurationAction::Submitted { submission, outcome });
             return;
         }
-        let checked = (self.build)(&submit.document).and_then(|_| canonical(&submit.document));
+        let checked = (self.build)(&submit.document).and_then(|_| canonical_json(&submit.document));
         let submit = match checked {
             Ok(document) => Submit { document, ..submit },
             Err(cause) => {
@@ -321,14 +332,14 @@
     ) {
         let Some(outcome) = outcome else { return };
         let Some(done) = self.submission.take() else { return };
-        if let (SubmitOutcome::Accepted { version }, Some(accepted)) = (&outcome, done.accepted())
+        if let (SubmitOutcome::Accepted { version }, Some(accepted)) = (&outcome, done.last_write())
             && accepted.version() == *version
         {
-            self.fetch.hear(now_us, None, *version);
+            self.fetch.observe(now_us, None, *version);
             self.confirmed = true;
-            self.take(accepted, out);
+            self.apply(accepted, out);
         }
-        let submission = done.number();
+        let submission = done.id();
         out.push(ConfigurationAction::Submitted { submission, outcome });
     }
 
@@ -337,22 +348,22 @@
             let outcome = submission.tick(now_us, out);
             self.finish(now_us, outcome, out);
         }
-        let reading = self.reading_until_us.is_some_and(|until_us| now_us < until_us);
+        let reading = self.read_deadline_us.is_some_and(|deadline_us| now_us < deadline_us);
         if !reading && now_us >= self.next_read_us {
-            self.reading_until_us = Some(now_us + self.options.store_timeout_us);
+            self.read_deadline_us = Some(now_us + self.options.store_timeout_us);
             out.push(ConfigurationAction::ReadTable);
         }
-        let version = self.version().max(self.unusable);
-        if let Some(peer) = self.fetch.ask(now_us, version) {
+        let version = self.version().max(self.unusable_version);
+        if let Some(peer) = self.fetch.start_request(now_us, version) {
             let reply_to = self.options.reply_to;
             let bytes = PeerMessage::Ask { reply_to, at_least: self.fetch.newest() }.encode();
             out.push(ConfigurationAction::SendPeer { to: peer, bytes });
         }
-        self.judge(now_us, out);
+        self.update_readiness(now_us, out);
     }
 
     /// Decides whether the node may serve.
-    fn judge(&mut self, now_us: u64, out: &mut Vec<ConfigurationAction>) {
+    fn update_readiness(&mut self, now_us: u64, out: &mut Vec<ConfigurationAction>) {
         let ready = self.may_serve(now_us);
         if ready == self.ready {
             return;
@@ -369,14 +380,14 @@
         if self.confirmed {
             return true;
         }
-        let table_away = self.read_failures > 0;
+        let table_unavailable = self.read_failures > 0;
         let cold_us = self.cold_since_us.map_or(0, |since_us| now_us.saturating_sub(since_us));
-        table_away && cold_us >= self.options.cold_start_us
+        table_unavailable && cold_us >= self.options.cold_start_us
     }
 }
 
-/// The document as it comes back from the table, or why it is no JSON.
-fn canonical(document: &str) -> Result<String, String> {
+/// The document in the form in which the table service returns it, or why it is not JSON.
+fn canonical_json(document: &str) -> Result<String, String> {
     let value: serde_json::Value = serde_json::from_str(document).map_err(|e| e.to_string())?;
     Ok(value.to_string())
 }
