--- a/src/node/roster.rs
+++ b/src/node/cluster.rs
@@ -1,4 +1,4 @@
-//! What joins membership and configuration to the node.
+//! Connects membership and configuration to the node.
 
 use std::sync::Arc;
 
@@ -22,23 +22,23 @@
 
 use super::event::{Asker, NodeAction};
 use super::note::Note;
-use super::platform::Asked;
+use super::platform::StoreRequestPurpose;
 use super::{Node, NodeIdentity};
 
-/// The other nodes, and the configuration in force.
-pub(super) struct Roster {
+/// The membership of the site and the configuration in force.
+pub(super) struct Cluster {
     /// The other nodes.
     membership: Membership,
     /// The configuration in force.
     configuration: Configuration,
-    /// The random numbers of both, apart from those of the calls.
+    /// Random numbers for both, separate from those for calls.
     rng: SmallRng,
-    /// The mark that the membership was told last.
+    /// The configuration mark last passed to membership.
     mark: ConfigurationMark,
 }
 
-impl Roster {
-    /// The roster of a node that knows nobody.
+impl Cluster {
+    /// Creates the state of a node without known members.
     pub(super) fn new(
         now_us: u64,
         identity: &NodeIdentity,
@@ -71,17 +71,17 @@
         Self { membership, configuration, rng, mark: ConfigurationMark::default() }
     }
 
-    /// Whether the node knows its configuration well enough to serve.
+    /// Whether the node's configuration is current enough to serve.
     pub(super) fn is_ready(&self) -> bool {
         self.configuration.is_ready()
     }
 
-    /// The version of the configuration in force; 0 for the settings of the start.
+    /// The version of the configuration in force; 0 for the settings the node was started with.
     pub(super) fn version(&self) -> u64 {
         self.configuration.version()
     }
 
-    /// The configuration in force, or none for the settings of the start.
+    /// The configuration in force; none for the settings the node was started with.
     pub(super) fn accepted(&self) -> Option<&Accepted> {
         self.configuration.accepted().map(Arc::as_ref)
     }
@@ -91,43 +91,49 @@
         self.membership.member_count()
     }
 
-    /// When either wants to be told that time has passed, in microseconds.
+    /// When membership or configuration next needs a tick, in microseconds.
     pub(super) fn next_wake_us(&self) -> Option<u64> {
         Some(self.membership.next_wake_us().min(self.configuration.next_wake_us()))
     }
 }
 
 impl Node {
-    /// Lets membership and configuration look at their timers.
-    pub(super) fn run_roster(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
-        if self.roster.membership.next_wake_us() <= now_us {
-            self.tell_membership(now_us, MembershipEvent::Tick, out);
+    /// Sends membership and configuration the ticks that are due.
+    pub(super) fn tick_cluster(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
+        if self.cluster.membership.next_wake_us() <= now_us {
+            self.notify_membership(now_us, MembershipEvent::Tick, out);
         }
-        if self.roster.configuration.next_wake_us() <= now_us {
-            self.tell_configuration(now_us, ConfigurationEvent::Tick, out);
+        if self.cluster.configuration.next_wake_us() <= now_us {
+            self.notify_configuration(now_us, ConfigurationEvent::Tick, out);
         }
     }
 
-    /// Asks for the nodes of a service that calls go to.
-    pub(super) fn want_service(&mut self, now_us: u64, service: &str, out: &mut Vec<NodeAction>) {
-        if self.wanted.contains_key(service) || self.rules.service(service).is_none() {
+    /// Requests the members of a service, the first time a call goes to it.
+    pub(super) fn request_members(
+        &mut self,
+        now_us: u64,
+        service: &str,
+        out: &mut Vec<NodeAction>,
+    ) {
+        if self.members_requested_us.contains_key(service) || self.rules.service(service).is_none()
+        {
             return;
         }
-        self.wanted.insert(service.to_owned(), now_us);
-        self.tell_membership(now_us, MembershipEvent::WantService(service), out);
+        self.members_requested_us.insert(service.to_owned(), now_us);
+        self.notify_membership(now_us, MembershipEvent::WantService(service), out);
     }
 
-    /// Asks for the nodes of the services that the target beside this node is known to call, before
-    /// it calls them.
-    fn want_calls_of_own_service(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
+    /// Requests the members of the services that the local target is configured to call, before it
+    /// calls them.
+    fn request_downstream_members(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
         let rules = self.rules.clone();
         let Some(own) = rules.service(&self.settings.node.service) else { return };
         for service in &own.calls {
-            self.want_service(now_us, service, out);
+            self.request_members(now_us, service, out);
         }
     }
 
-    /// Makes it known that the target beside this node is there, or, with zeros, gone.
+    /// Announces the local target to the site; zeros mean that it is gone.
     pub(super) fn announce_target(
         &mut self,
         now_us: u64,
@@ -135,21 +141,21 @@
         connections: u32,
         out: &mut Vec<NodeAction>,
     ) {
-        self.want_calls_of_own_service(now_us, out);
+        self.request_downstream_members(now_us, out);
         let event = MembershipEvent::TargetAnnounced { slots, connections };
-        self.tell_membership(now_us, event, out);
-        self.put_self(now_us, slots);
+        self.notify_membership(now_us, event, out);
+        self.update_own_peer(now_us, slots);
     }
 
-    /// Makes it known that this node takes no new work.
+    /// Announces that this node is leaving.
     pub(super) fn announce_leaving(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
-        self.tell_membership(now_us, MembershipEvent::Leave, out);
+        self.notify_membership(now_us, MembershipEvent::Leave, out);
         self.router.remove(now_us, self.identity.id);
     }
 
-    /// Makes this node itself a choice for calls to its own service, as long as it has a target.
-    fn put_self(&mut self, now_us: u64, slots: u32) {
-        if slots == 0 || self.leave_after_us.is_some() {
+    /// Adds this node to the router for calls to its own service, as long as it has a target.
+    fn update_own_peer(&mut self, now_us: u64, slots: u32) {
+        if slots == 0 || self.stop_after_us.is_some() {
             self.router.remove(now_us, self.identity.id);
             return;
         }
@@ -165,8 +171,8 @@
         self.router.put(now_us, peer);
     }
 
-    /// Takes in a sign of life of a node, with its load.
-    pub(super) fn take_pong(
+    /// Handles a heartbeat reply with the node's load.
+    pub(super) fn on_pong(
         &mut self,
         now_us: u64,
         from: NodeId,
@@ -174,67 +180,62 @@
         out: &mut Vec<NodeAction>,
     ) {
         self.router.heartbeat(now_us, from, load);
-        self.tell_membership(now_us, MembershipEvent::Heard { node: from }, out);
+        self.notify_membership(now_us, MembershipEvent::Heard { node: from }, out);
     }
 
-    /// Takes in a membership message.
-    pub(super) fn take_gossip(&mut self, now_us: u64, bytes: &[u8], out: &mut Vec<NodeAction>) {
-        self.tell_membership(now_us, MembershipEvent::Gossip { bytes }, out);
+    /// Handles a membership message.
+    pub(super) fn on_gossip(&mut self, now_us: u64, bytes: &[u8], out: &mut Vec<NodeAction>) {
+        self.notify_membership(now_us, MembershipEvent::Gossip { bytes }, out);
     }
 
-    /// Takes in a message of the configuration.
-    pub(super) fn take_configuration(
+    /// Handles a configuration message.
+    pub(super) fn on_configuration(
         &mut self,
         now_us: u64,
         bytes: &[u8],
         out: &mut Vec<NodeAction>,
     ) {
-        self.tell_configuration(now_us, ConfigurationEvent::Peer(bytes), out);
+        self.notify_configuration(now_us, ConfigurationEvent::Peer(bytes), out);
     }
 
-    /// Takes in a document that an operator wants in force.
-    pub(super) fn take_submission(
-        &mut self,
-        now_us: u64,
-        submit: Submit,
-        out: &mut Vec<NodeAction>,
-    ) {
-        self.tell_configuration(now_us, ConfigurationEvent::Submit(submit), out);
+    /// Handles a configuration submitted by an operator.
+    pub(super) fn on_submit(&mut self, now_us: u64, submit: Submit, out: &mut Vec<NodeAction>) {
+        self.notify_configuration(now_us, ConfigurationEvent::Submit(submit), out);
     }
 
-    /// Tells the membership something and carries out what it asks for.
-    pub(super) fn tell_membership(
+    /// Passes an event to membership and applies the resulting actions.
+    pub(super) fn notify_membership(
         &mut self,
         now_us: u64,
         event: MembershipEvent<'_>,
         out: &mut Vec<NodeAction>,
     ) {
         let mut actions = Vec::new();
-        let roster = &mut self.roster;
-        roster.membership.handle(now_us, event, &mut roster.rng, &mut actions);
+        let cluster = &mut self.cluster;
+        cluster.membership.handle(now_us, event, &mut cluster.rng, &mut actions);
         for action in actions {
-            self.do_for_membership(now_us, action, out);
+            self.apply_membership_action(now_us, action, out);
         }
     }
 
-    /// Tells the configuration something and carries out what it asks for.
-    pub(super) fn tell_configuration(
+    /// Passes an event to configuration and applies the resulting actions.
+    pub(super) fn notify_configuration(
         &mut self,
         now_us: u64,
         event: ConfigurationEvent<'_>,
         out: &mut Vec<NodeAction>,
     ) {
         let mut actions = Vec::new();
-        let roster = &mut self.roster;
-        roster.configuration.handle(now_us, event, &mut roster.rng, &mut actions);
+        let cluster = &mut self.cluster;
+        cluster.configuration.handle(now_us, event, &mut cluster.rng, &mut actions);
         for action in actions {
-            self.do_for_configuration(now_us, action, out);
+            self.apply_configuration_action(now_us, action, out);
         }
-        self.pass_mark_on(now_us, out);
+        self.share_configuration_mark(now_us, out);
     }
 
-    /// Carries out what the membership asks for.
-    fn do_for_membership(
+    /// Applies an action of membership.
+    fn apply_membership_action(
         &mut self,
         now_us: u64,
         action: MembershipAction,
@@ -242,36 +243,38 @@
     ) {
         match action {
             MembershipAction::Added(member) | MembershipAction::Changed(member) => {
-                self.put_member(now_us, &member, out);
+                self.update_peer(now_us, &member, out);
             }
-            MembershipAction::Gone(node) => self.forget(now_us, node, out),
+            MembershipAction::Gone(node) => self.remove_peer(now_us, node, out),
             MembershipAction::SendGossip { to, bytes } => {
                 out.push(NodeAction::Send { to, message: Message::Gossip(bytes.into()) });
             }
             MembershipAction::PeerConfiguration { peer, mark } => {
-                let told = PeerVersion { peer, version: mark.version, confirmed: mark.confirmed };
-                self.tell_configuration(now_us, ConfigurationEvent::PeerHas(told), out);
+                let event = PeerVersion { peer, version: mark.version, confirmed: mark.confirmed };
+                self.notify_configuration(now_us, ConfigurationEvent::PeerHas(event), out);
+            }
+            MembershipAction::Superseded { .. } => {
+                self.start_leaving(now_us, Asker::Successor, out);
             }
-            MembershipAction::Superseded { .. } => self.leave(now_us, Asker::Successor, out),
             MembershipAction::WriteRow { member, expected } => {
                 self.write_member(&member, expected, out);
             }
             MembershipAction::DeleteRow { key, version } => {
                 let operation = StoreOperation::Delete { key, version: Some(version) };
-                self.ask_store(Asked::MemberDelete, operation, out);
+                self.send_store_request(StoreRequestPurpose::MemberDelete, operation, out);
             }
             MembershipAction::ReadRows { service } => {
                 let operation = StoreOperation::ReadRows { prefix: row_prefix(&service) };
-                self.ask_store(Asked::Members { service }, operation, out);
+                self.send_store_request(StoreRequestPurpose::Members { service }, operation, out);
             }
         }
     }
 
-    /// Makes a member a choice for calls to its service, as long as it has a target.
+    /// Adds a member to the router for calls to its service, as long as it has a target.
     ///
-    /// A member whose target is not there, yet or for now, is no choice but does not count as
-    /// leaving, which would be for good.
-    fn put_member(&mut self, now_us: u64, member: &Member, out: &mut Vec<NodeAction>) {
+    /// A member that has no target yet, or has none for the moment, is only removed from the router.
+    /// It does not count as leaving, which is final.
+    fn update_peer(&mut self, now_us: u64, member: &Member, out: &mut Vec<NodeAction>) {
         if member.slots == 0 {
             self.router.remove(now_us, member.node);
             return;
@@ -285,20 +288,20 @@
         if self.router.address(member.node).is_none() {
             self.log(event, out);
         }
-        self.router.put(now_us, peer_of(now_us, member));
-        self.resume_resolving(now_us, &member.service, out);
+        self.router.put(now_us, to_peer(now_us, member));
+        self.resume_waiting_for_members(now_us, &member.service, out);
     }
 
-    /// Forgets a node that is gone for good.
-    fn forget(&mut self, now_us: u64, node: NodeId, out: &mut Vec<NodeAction>) {
+    /// Removes a node that is gone for good and closes its connection.
+    fn remove_peer(&mut self, now_us: u64, node: NodeId, out: &mut Vec<NodeAction>) {
         if let Some(peer) = self.router.address(node) {
             out.push(NodeAction::Forget { peer });
         }
         self.router.remove(now_us, node);
     }
 
-    /// Carries out what the configuration asks for.
-    fn do_for_configuration(
+    /// Applies an action of configuration.
+    fn apply_configuration_action(
         &mut self,
         now_us: u64,
         action: ConfigurationAction,
@@ -309,25 +312,25 @@
                 out.push(NodeAction::Send { to, message: Message::Configuration(bytes.into()) });
             }
             ConfigurationAction::InForce { version, rules } => {
-                self.put_in_force(now_us, version, rules, out);
+                self.apply_rules(now_us, version, rules, out);
             }
             ConfigurationAction::Submitted { submission, outcome } => {
                 out.push(NodeAction::Submitted { submission, outcome });
             }
             ConfigurationAction::ReadTable => {
                 let operation = StoreOperation::ReadRow { key: ROW_KEY.to_owned() };
-                self.ask_store(Asked::ConfigurationRead, operation, out);
+                self.send_store_request(StoreRequestPurpose::ConfigurationRead, operation, out);
             }
             ConfigurationAction::WriteTable { expected, accepted } => {
                 self.write_configuration(expected, &accepted, out);
             }
-            // Whether the node may serve is asked for when it matters.
+            // Readiness is checked where it is needed, by `is_ready`.
             ConfigurationAction::Ready(_) | ConfigurationAction::Unusable { .. } => {}
         }
     }
 
-    /// Puts new rules in force.
-    fn put_in_force(
+    /// Applies new rules.
+    fn apply_rules(
         &mut self,
         now_us: u64,
         version: u64,
@@ -344,22 +347,22 @@
         self.log(LogEvent::ConfigInForce { config_version: version, learned_from }, out);
     }
 
-    /// Lets the membership tell others which version of the configuration this node has.
-    fn pass_mark_on(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
+    /// Passes a changed configuration mark to membership, which spreads it to other nodes.
+    fn share_configuration_mark(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
         let mark = ConfigurationMark {
-            version: self.roster.configuration.version(),
-            confirmed: self.roster.configuration.is_confirmed(),
+            version: self.cluster.configuration.version(),
+            confirmed: self.cluster.configuration.is_confirmed(),
         };
-        if mark == self.roster.mark {
+        if mark == self.cluster.mark {
             return;
         }
-        self.roster.mark = mark;
-        self.tell_membership(now_us, MembershipEvent::Configuration(mark), out);
+        self.cluster.mark = mark;
+        self.notify_membership(now_us, MembershipEvent::Configuration(mark), out);
     }
 }
 
-/// A member as the router sees it.
-fn peer_of(now_us: u64, member: &Member) -> Peer {
+/// Converts a member to a peer of the router.
+fn to_peer(now_us: u64, member: &Member) -> Peer {
     Peer {
         node: member.node,
         service: member.service.clone(),
--- a/src/node/event.rs
+++ b/src/node/event.rs
@@ -1,4 +1,4 @@
-//! What the node is told, and what it asks the threads around it to do.
+//! Events that a node handles and actions that it requests from the threads around it.
 
 use std::net::SocketAddr;
 
@@ -11,104 +11,104 @@
 
 use super::note::Note;
 
-/// A request that waits for its answer on one of the node's own listeners.
+/// The id of a request that waits for its answer on one of the node's own listeners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ticket(pub u64);
 
-/// The way back to whoever sent a frame.
+/// Where the reply to a frame goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ReplyPath {
-    /// The frame was sent by this node to itself.
+    /// To this node itself, which sent the frame.
     Local,
-    /// The frame came over a connection from another node.
+    /// Over the connection from another node on which the frame arrived.
     Peer(ReturnPath),
 }
 
-/// A request as one of the node's own listeners took it in.
+/// A request received by one of the node's own listeners.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intake {
-    /// Names the request until it is answered.
+    /// Identifies the request until it is answered.
     pub ticket: Ticket,
     /// The service it is for.
     pub service: String,
     /// The request without internal headers.
     pub request: HttpRequest,
-    /// The time the caller gives it, in milliseconds, where it says so.
+    /// The deadline given by the caller, in milliseconds, if any.
     pub deadline_ms: Option<u64>,
-    /// The caller's idempotency key, as it was written.
+    /// The caller's idempotency key, unparsed.
     pub key: Option<String>,
-    /// The caller's trace, where it sent one.
+    /// The caller's trace context, if it sent one.
     pub trace: Option<TraceContext>,
 }
 
-/// What the target made of a request.
+/// The outcome of a request at the target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TargetOutcome {
-    /// A whole answer.
+    /// A complete answer.
     Answered(HttpAnswer),
-    /// The target says that it did not run the request.
+    /// The target reported that it did not run the request.
     Declined,
-    /// No connection could be made, so the target has seen nothing of the request.
+    /// No connection could be made, so the target received nothing of the request.
     Unreachable,
-    /// The node itself had no room to pass the request on.
+    /// The node had no capacity to forward the request.
     NoRoom,
-    /// The exchange broke off after the request may have been seen.
+    /// The exchange broke off after the target may have received the request.
     Broke,
-    /// The answer was longer than is allowed.
+    /// The answer exceeded the maximum length.
     TooLong,
-    /// The node gave the request up while the target had it.
+    /// The node aborted the request while the target had it.
     Aborted,
 }
 
-/// Everything that can happen to a node.
+/// An event that a node handles.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum NodeEvent {
-    /// An outside caller's request.
+    /// A request of an outside caller.
     CallerCall(Intake),
-    /// An outside caller wants a key for a later request to a service.
+    /// An outside caller requests an idempotency key for a later request to a service.
     MintKey {
-        /// Names the request until it is answered.
+        /// Identifies the request until it is answered.
         ticket: Ticket,
         /// The service the key is for.
         service: String,
     },
-    /// Whoever made a request on one of the node's own listeners waits for it no longer.
+    /// The client of one of the node's own listeners no longer waits for its request.
     CallerGone {
         /// The request.
         ticket: Ticket,
     },
-    /// A request of the target beside this node, on behalf of the call named by `token`.
+    /// A request of the local target, on behalf of the call identified by `token`.
     TargetCall {
         /// The request.
         intake: Intake,
-        /// The value of the `aspenspring-call` header, where there was one.
+        /// The value of the `aspenspring-call` header, if present.
         token: Option<String>,
     },
     /// A message that opened an exchange, from another node.
     PeerRequest {
-        /// Where its reply goes.
+        /// Where the reply goes.
         path: ReturnPath,
         /// The message.
         message: Message,
     },
-    /// A reply of another node.
+    /// A reply from another node.
     PeerReply {
-        /// The address that was asked.
+        /// The address the request was sent to.
         peer: SocketAddr,
         /// The message.
         message: Message,
     },
-    /// The connection to a peer is gone or silent.
+    /// The connection to a peer is closed or silent.
     LinkLost {
         /// The peer's address.
         peer: SocketAddr,
     },
-    /// A connection to a peer works.
+    /// A connection to a peer is established.
     LinkUp {
         /// The peer's address.
         peer: SocketAddr,
     },
-    /// A message could not be sent: nothing of it left this process.
+    /// A message could not be sent; nothing of it left this process.
     SendFailed {
         /// The message.
         message: Message,
@@ -117,34 +117,34 @@
     TargetEnded {
         /// The attempt.
         attempt: AttemptId,
-        /// What the target made of it.
+        /// Its outcome.
         outcome: TargetOutcome,
     },
-    /// The target beside this node announced itself.
+    /// The local target announced itself.
     TargetAnnounced(Announcement),
-    /// The target beside this node, or the operator, wants the node to leave.
+    /// The node is to leave.
     Leave {
-        /// Who asked for it.
+        /// What requested it.
         asked_by: Asker,
     },
-    /// An operator submits a configuration.
+    /// An operator submitted a configuration.
     Submit(Submit),
-    /// An answer of the platform.
+    /// An answer from the platform's table service.
     Store(StoreEvent),
-    /// Time has passed; the node looks at its timers.
+    /// Time has passed; the node checks its timers.
     Tick,
 }
 
-/// Who asked a node to leave.
+/// What requested that a node leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Asker {
     /// A signal to the process.
     Signal,
     /// An operator.
     Operator,
-    /// The target beside the node.
+    /// The local target.
     Target,
-    /// A later life that holds the node's name.
+    /// A newer process that holds the node's name.
     Successor,
 }
 
@@ -160,7 +160,7 @@
     }
 }
 
-/// What a target says about itself.
+/// The announcement of a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
@@ -168,39 +168,39 @@
     pub url: String,
     /// The service it belongs to.
     pub service: String,
-    /// How many calls it runs at once.
+    /// How many calls it runs concurrently.
     pub slots: u32,
     /// How many connections it accepts.
     pub connections: u32,
 }
 
-/// The end of a request that came in on one of the node's own listeners.
+/// The result of a request that arrived on one of the node's own listeners.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallEnd {
-    /// What became of it.
+    /// Its outcome.
     pub verdict: Verdict,
-    /// The whole request it was, or was part of.
+    /// The root request it belongs to.
     pub root: RootId,
-    /// The name of its class; empty where it had none.
+    /// The name of its class; empty if it had none.
     pub class: String,
-    /// The name of its policy arm; empty where it had none.
+    /// The name of its policy arm; empty if it had none.
     pub arm: String,
     /// How many attempts this hop made.
     pub attempts: u8,
     /// How long the hop took, in microseconds.
     pub elapsed_us: u64,
-    /// Whether the caller stands outside of the site.
+    /// Whether it came from an outside caller.
     pub outside: bool,
 }
 
-/// Everything a node can ask for.
+/// An action requested by a node.
 #[derive(Debug)]
 pub enum NodeAction {
     /// Answer a request on one of the node's own listeners.
     Reply {
         /// The request.
         ticket: Ticket,
-        /// Its end.
+        /// Its result.
         end: CallEnd,
     },
     /// Send a message that opens an exchange.
@@ -210,53 +210,53 @@
         /// The message.
         message: Message,
     },
-    /// Send a reply to whoever asked.
+    /// Send the reply to a message that opened an exchange.
     Return {
-        /// The way back.
+        /// Where the reply goes.
         path: ReturnPath,
         /// The message.
         message: Message,
     },
-    /// Close the connection to a peer that is gone for good.
+    /// Close the connection to a peer that was removed from the membership.
     Forget {
         /// The peer's address.
         peer: SocketAddr,
     },
-    /// Give a request to the target.
+    /// Send a request to the target.
     RunTarget(Box<TargetCall>),
-    /// Give up a request that the target has.
+    /// Abort a request that the target has.
     AbortTarget {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Tell an operator what became of a submission.
+    /// Report the outcome of a submission to the operator.
     Submitted {
         /// The random number of the submission.
         submission: u64,
-        /// What became of it.
+        /// Its outcome.
         outcome: SubmitOutcome,
     },
-    /// Ask the platform for something.
+    /// Send a request to the platform's table service.
     Store(StoreRequest),
-    /// Write something to the log or count it.
+    /// Record something in the log, the metrics or the traces.
     Note(Note),
-    /// Stop the process: nothing is in flight any more.
+    /// Stop the process; nothing is in flight any more.
     Exit,
 }
 
-/// A request for the target beside this node.
+/// A request for the local target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetCall {
     /// The attempt.
     pub attempt: AttemptId,
     /// The target's base URL.
     pub url: String,
-    /// The token under which the target's own calls are taken in.
+    /// The token by which the target's own calls are matched to this attempt.
     pub token: String,
     /// The request.
     pub request: HttpRequest,
-    /// Headers that the node adds.
+    /// Headers added by the node.
     pub added_headers: Vec<(&'static str, String)>,
-    /// When the call ends whatever the target does, in microseconds since the process started.
+    /// The deadline of the call, in microseconds since the process started.
     pub deadline_us: u64,
 }
--- a/src/node/header.rs
+++ b/src/node/header.rs
@@ -1,8 +1,8 @@
-//! Names of the headers that the node reads and writes, in lower case.
+//! Names of the HTTP headers that the node reads and writes, in lower case.
 
 /// The verdict of an answer.
 pub const VERDICT: &str = "aspenspring-verdict";
-/// Names the call that a target is running, to be copied to its own calls.
+/// Identifies the call that a target is running; the target copies it to its own calls.
 pub const CALL: &str = "aspenspring-call";
 /// The time a request has left, in milliseconds.
 pub const DEADLINE_MS: &str = "aspenspring-deadline-ms";
@@ -10,7 +10,7 @@
 pub const CLASS: &str = "aspenspring-class";
 /// The policy arm of a request.
 pub const ARM: &str = "aspenspring-arm";
-/// The whole request an answer belongs to.
+/// The root request an answer belongs to.
 pub const ROOT: &str = "aspenspring-root";
 /// How many attempts were made for an answer.
 pub const ATTEMPTS: &str = "aspenspring-attempts";
@@ -18,7 +18,7 @@
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// The W3C trace context.
 pub const TRACEPARENT: &str = "traceparent";
-/// When to come back, in whole seconds.
+/// How long to wait before another request, in whole seconds.
 pub const RETRY_AFTER: &str = "retry-after";
-/// What all of the node's own headers begin with.
+/// The prefix of all headers specific to the mesh.
 pub const INTERNAL_PREFIX: &str = "aspenspring-";
--- a/src/node/hop.rs
+++ b/src/node/hop.rs
@@ -1,4 +1,4 @@
-//! The sending side of one hop: a request and the attempts made for it.
+//! The state of a request that this node forwards, over all of its attempts.
 
 use std::net::SocketAddr;
 
@@ -9,116 +9,116 @@
 
 use super::event::Ticket;
 
-/// Names a hop on this node.
+/// Identifies a hop on this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HopId(pub u64);
 
-/// One request that this node sends on, until it is answered.
+/// A request that this node forwards, until it is answered.
 #[derive(Debug)]
 pub struct Hop {
-    /// Who waits for the answer.
+    /// The request on the listener that waits for the answer.
     pub ticket: Ticket,
-    /// The attempt on whose behalf the target made this call, where there is one.
+    /// The running attempt on whose behalf the local target made this call, if any.
     pub parent: Option<AttemptId>,
-    /// The whole request.
+    /// The root request.
     pub root: RootId,
     /// The node that holds the root's retry allowance.
     pub entry: Option<NodeId>,
-    /// Where that node listens for others.
+    /// The peer address of that node.
     pub entry_address: Option<SocketAddr>,
     /// The class of the root.
     pub class: ClassRank,
     /// Whether the call must run at most once.
     pub at_most_once: bool,
-    /// Where the call stands in the order of shedding.
+    /// The call's position in the shedding order.
     pub level: Level,
     /// The policy arm of the root.
     pub arm: ArmId,
-    /// How many hops lie above this one.
+    /// How many hops precede this one.
     pub depth: u8,
     /// The service that is called.
     pub service: String,
     /// The request.
     pub request: HttpRequest,
-    /// How it is kept from running twice.
+    /// How duplicate runs are prevented.
     pub key: HopKey,
-    /// The trace, with this hop's own span as the parent of what follows.
+    /// The trace context, with this hop's own span as the parent of later spans.
     pub trace: TraceContext,
-    /// The span this hop is a child of; 0 where it has none.
+    /// The parent of this hop's span; 0 if it has none.
     pub caller_span_id: u64,
-    /// Whether the caller stands outside of the site.
+    /// Whether the request came from an outside caller.
     pub outside: bool,
-    /// When the hop began, in microseconds since the process started.
+    /// When the hop started, in microseconds since the process started.
     pub started_us: u64,
-    /// When the hop ends whatever happens.
+    /// The deadline of the hop, in microseconds since the process started.
     pub deadline_us: u64,
     /// Retries made so far.
     pub retries: u8,
-    /// Nodes that were tried.
+    /// Nodes that attempts were sent to.
     pub tried: Vec<NodeId>,
-    /// What the attempts before the present one came to.
+    /// The outcomes of the attempts before the current one.
     pub history: AttemptHistory,
-    /// What the hop waits for.
+    /// What the hop is waiting for.
     pub state: HopState,
 }
 
-/// How a hop is kept from running twice.
+/// How duplicate runs of a hop are prevented.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HopKey {
     /// The call may run more than once.
     None,
-    /// Nobody else knows the key, so a new one is minted for every attempt after a "not run".
-    Own,
-    /// The caller brought a minted key: only its owner may run it.
-    Brought(Key),
-    /// The caller brought a key of its own making, which the platform binds to an owner.
+    /// The key is known to no caller, so each attempt that follows a "not run" gets a new one.
+    PerAttempt,
+    /// The caller sent a minted key, which only the key's owner may run.
+    Minted(Key),
+    /// The caller sent a key of its own format, which the platform's table binds to an owner.
     Foreign(String),
 }
 
-/// What a hop waits for.
+/// What a hop is waiting for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HopState {
-    /// Its first attempt.
+    /// The first attempt.
     New,
-    /// The nodes of its service, of which none is known yet.
-    Resolving {
-        /// When waiting ends.
+    /// The first known member of its service.
+    AwaitingMembers {
+        /// When the wait times out.
         until_us: u64,
     },
-    /// The platform, which is asked who owns the caller's own key.
+    /// The platform's table, which is asked for the owner of the caller's key.
     Claiming,
     /// The answer to an attempt.
     Sent {
         /// The attempt.
         attempt: AttemptId,
-        /// The node it went to.
+        /// The node it was sent to.
         node: NodeId,
         /// When it was sent.
         sent_us: u64,
     },
-    /// A new connection, over which the receiving node is asked what became of an attempt.
+    /// A new connection over which the receiver is asked for the verdict of an attempt.
     Fencing {
         /// The attempt.
         attempt: AttemptId,
-        /// The node it went to.
+        /// The node it was sent to.
         node: NodeId,
-        /// When waiting ends.
+        /// When the wait times out.
         until_us: u64,
     },
-    /// The entry node's leave to retry.
-    AskingRetry {
+    /// The entry node's decision on a retry.
+    AwaitingRetryGrant {
         /// The attempt that failed.
         failed: AttemptId,
-        /// What became of it.
+        /// Its verdict.
         last: Verdict,
         /// How long to wait before the retry.
         backoff_us: u64,
-        /// When waiting for the entry node ends.
+        /// When the wait for the entry node times out.
         until_us: u64,
     },
-    /// The moment of a retry that was granted.
+    /// The backoff before a granted retry.
     BackingOff {
-        /// What became of the last attempt.
+        /// The verdict of the last attempt.
         last: Verdict,
         /// When the retry is made.
         until_us: u64,
@@ -126,12 +126,12 @@
 }
 
 impl HopState {
-    /// The moment the state ends by itself, where it does.
+    /// When the state times out; none for states that only end by an event or the hop's deadline.
     pub fn until_us(&self) -> Option<u64> {
         match self {
-            Self::Resolving { until_us }
+            Self::AwaitingMembers { until_us }
             | Self::Fencing { until_us, .. }
-            | Self::AskingRetry { until_us, .. }
+            | Self::AwaitingRetryGrant { until_us, .. }
             | Self::BackingOff { until_us, .. } => Some(*until_us),
             Self::New | Self::Claiming | Self::Sent { .. } => None,
         }
--- a/src/node/inbound.rs
+++ b/src/node/inbound.rs
@@ -1,48 +1,48 @@
-//! The receiving side of one attempt.
+//! The state of an attempt that this node received.
 
 use crate::call::CallFrame;
 
 use super::event::ReplyPath;
 use super::hop::HopId;
 
-/// An attempt that this node received and has not settled.
+/// An attempt that this node received and that is not finished.
 #[derive(Debug)]
 pub struct Inbound {
-    /// The attempt as it came.
+    /// The attempt as received.
     pub frame: CallFrame,
-    /// Everybody who waits for its verdict.
-    pub paths: Vec<ReplyPath>,
+    /// Where its verdict is to be sent.
+    pub reply_paths: Vec<ReplyPath>,
     /// When it arrived, in microseconds since the process started.
     pub arrived_us: u64,
-    /// When it ends whatever happens.
+    /// Its deadline, in microseconds since the process started.
     pub deadline_us: u64,
-    /// Where it stands.
+    /// Its current stage.
     pub stage: Stage,
-    /// Whether its verdict is recorded and told.
+    /// Whether its verdict has been recorded and sent.
     pub settled: bool,
-    /// The calls the target makes on its behalf.
+    /// The calls that the target makes on its behalf.
     pub children: Vec<HopId>,
     /// The node's own span for it.
     pub span_id: u64,
-    /// Names it to the target.
+    /// Identifies it to the target.
     pub token: String,
 }
 
-/// Where a received attempt stands.
+/// The stage of a received attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// It waits for another attempt with the same idempotency key.
+    /// Waits for another attempt with the same idempotency key.
     Joined,
-    /// It waits for admission.
+    /// Waits for admission.
     Queued,
-    /// The target has it since `since_us`.
+    /// Runs at the target.
     Running {
-        /// When it was given to the target.
+        /// When it was sent to the target, in microseconds since the process started.
         since_us: u64,
     },
-    /// The target was told to give it up; its slot is taken until the target has.
+    /// The target was told to abort it; it holds its slot until the target has finished.
     Aborting {
-        /// When it was given to the target.
+        /// When it was sent to the target, in microseconds since the process started.
         since_us: u64,
     },
 }
--- a/src/node/intake.rs
+++ b/src/node/ingress.rs
@@ -1,4 +1,4 @@
-//! How requests of outside callers and of the target become hops.
+//! Requests that arrive on the node's own listeners, from outside callers and the local target.
 
 use rand::Rng;
 
@@ -14,16 +14,16 @@
 
 use super::event::{CallEnd, Intake, NodeAction, Ticket};
 use super::hop::{Hop, HopId, HopKey, HopState};
-use super::{Due, Node};
+use super::{Node, TimerKind};
 
-/// When a caller should come back to a node that is not ready, in milliseconds.
+/// The retry-after sent to callers while the node is not ready, in milliseconds.
 const NOT_READY_RETRY_MS: u32 = 1_000;
-/// Methods that change nothing at the target by the rules of HTTP.
+/// Methods that HTTP defines as safe: they do not change the target's state.
 const SAFE_METHODS: [&str; 3] = ["GET", "HEAD", "OPTIONS"];
 
 impl Node {
-    /// Takes in a request of an outside caller.
-    pub(super) fn take_caller_call(
+    /// Handles a request of an outside caller.
+    pub(super) fn on_caller_call(
         &mut self,
         now_us: u64,
         intake: Intake,
@@ -33,7 +33,7 @@
         let hop = match self.caller_hop(now_us, intake, root) {
             Ok(hop) => hop,
             Err((ticket, verdict)) => {
-                self.reply_unstarted(ticket, root, verdict, out);
+                self.reply_without_hop(ticket, root, verdict, out);
                 return;
             }
         };
@@ -41,13 +41,13 @@
         if let RetryRule::Bounded { allowance, .. } = policy.retry {
             self.allowances.open(now_us, root, allowance, hop.deadline_us);
         }
-        self.begin(now_us, hop, out);
+        self.start_hop(now_us, hop, out);
     }
 
-    /// Takes in a request that the target makes on behalf of the call named by `token`.
+    /// Handles a request that the target makes on behalf of the call identified by `token`.
     ///
-    /// A call that names no known parent gets no retry allowance.
-    pub(super) fn take_target_call(
+    /// A call without a known parent gets no retry allowance.
+    pub(super) fn on_target_call(
         &mut self,
         now_us: u64,
         intake: Intake,
@@ -55,7 +55,7 @@
         out: &mut Vec<NodeAction>,
     ) {
         let parent = token.and_then(|token| self.tokens.get(token)).copied();
-        let made = match parent {
+        let result = match parent {
             Some(parent) => self.child_hop(now_us, intake, parent),
             None => {
                 let root = RootId(self.rng.random());
@@ -67,14 +67,14 @@
                 })
             }
         };
-        match made {
-            Ok(hop) => self.begin(now_us, hop, out),
-            Err((ticket, verdict)) => self.reply_unstarted(ticket, RootId(0), verdict, out),
+        match result {
+            Ok(hop) => self.start_hop(now_us, hop, out),
+            Err((ticket, verdict)) => self.reply_without_hop(ticket, RootId(0), verdict, out),
         }
     }
 
-    /// Gives an outside caller a key for a later request.
-    pub(super) fn mint_for_caller(
+    /// Mints an idempotency key for a later request of an outside caller.
+    pub(super) fn mint_key_for_caller(
         &mut self,
         now_us: u64,
         ticket: Ticket,
@@ -83,16 +83,16 @@
     ) {
         let root = RootId(self.rng.random());
         let arm = self.rules.arm_for(root).id;
-        let ask = PickRequest {
+        let pick = PickRequest {
             service,
             arm: ArmId(arm),
             class: Level::HIGHEST.class(),
             level: Level::HIGHEST,
             avoid: &[],
         };
-        let verdict = match self.router.pick(now_us, &ask, &mut self.rng) {
+        let verdict = match self.router.pick(now_us, &pick, &mut self.rng) {
             Ok(owner) => {
-                let key = self.mint(now_us, owner, KeyLifetime::Caller);
+                let key = self.mint_key(now_us, owner, KeyLifetime::Caller);
                 let body = serde_json::json!({ "idempotency_key": key.to_string() });
                 Verdict::Answered(HttpAnswer {
                     status: 201,
@@ -102,15 +102,15 @@
             }
             Err(refusal) => Verdict::NotRun(refusal),
         };
-        self.reply_unstarted(ticket, root, verdict, out);
+        self.reply_without_hop(ticket, root, verdict, out);
     }
 
-    /// A key that only `owner` may run.
-    pub(super) fn mint(&mut self, now_us: u64, owner: NodeId, lifetime: KeyLifetime) -> Key {
+    /// Mints a key that only `owner` may run.
+    pub(super) fn mint_key(&mut self, now_us: u64, owner: NodeId, lifetime: KeyLifetime) -> Key {
         Key::mint(owner, self.unix_ms(now_us), self.rng.random(), lifetime)
     }
 
-    /// The first hop of a request.
+    /// Builds the first hop of a request, or the refusal.
     fn caller_hop(
         &mut self,
         now_us: u64,
@@ -119,16 +119,16 @@
     ) -> Result<Hop, (Ticket, Verdict)> {
         let ticket = intake.ticket;
         let refuse = |reason, retry_after_ms| (ticket, Verdict::not_run(reason, retry_after_ms));
-        if !self.roster.is_ready() {
+        if !self.cluster.is_ready() {
             return Err(refuse(RefusalReason::NotReady, NOT_READY_RETRY_MS));
         }
-        if self.leave_after_us.is_some() {
+        if self.stop_after_us.is_some() {
             return Err(refuse(RefusalReason::Leaving, 0));
         }
         let rules = self.rules.clone();
         let found = rules.class_for(&intake.service, &intake.request.method, &intake.request.path);
         let Some(class) = found else { return Err(refuse(RefusalReason::Malformed, 0)) };
-        let key = match hop_key(class.at_most_once, intake.key.as_deref()) {
+        let key = match hop_key_of(class.at_most_once, intake.key.as_deref()) {
             Ok(key) => key,
             Err(()) => return Err(refuse(RefusalReason::KeyInvalid, 0)),
         };
@@ -161,7 +161,7 @@
         })
     }
 
-    /// The hop of a call that the target makes while it runs `parent`.
+    /// Builds the hop of a call that the target makes while it runs `parent`, or the refusal.
     fn child_hop(
         &mut self,
         now_us: u64,
@@ -170,13 +170,13 @@
     ) -> Result<Hop, (Ticket, Verdict)> {
         let ticket = intake.ticket;
         let refuse = |reason| (ticket, Verdict::not_run(reason, 0));
-        let Some(above) = self.inbound.get(&parent) else {
+        let Some(parent_inbound) = self.inbound.get(&parent) else {
             return Err(refuse(RefusalReason::Cancelled));
         };
         if self.rules.service(&intake.service).is_none() {
             return Err(refuse(RefusalReason::Malformed));
         }
-        let frame = &above.frame;
+        let frame = &parent_inbound.frame;
         let class = self.rules.class_of_rank(frame.class);
         let runs_once = frame.key.is_some() || class.is_some_and(|class| class.at_most_once);
         let at_most_once = runs_once && !SAFE_METHODS.contains(&intake.request.method.as_str());
@@ -194,13 +194,13 @@
             arm: frame.arm,
             depth: frame.depth.saturating_add(1),
             trace,
-            caller_span_id: above.span_id,
+            caller_span_id: parent_inbound.span_id,
             outside: false,
             service: intake.service,
             request: intake.request,
-            key: if at_most_once { HopKey::Own } else { HopKey::None },
+            key: if at_most_once { HopKey::PerAttempt } else { HopKey::None },
             started_us: now_us,
-            deadline_us: above.deadline_us.min(now_us.saturating_add(asked_us)),
+            deadline_us: parent_inbound.deadline_us.min(now_us.saturating_add(asked_us)),
             retries: 0,
             tried: Vec::new(),
             history: AttemptHistory::default(),
@@ -208,28 +208,28 @@
         })
     }
 
-    /// Registers a hop and makes its first attempt.
-    fn begin(&mut self, now_us: u64, hop: Hop, out: &mut Vec<NodeAction>) {
+    /// Registers a hop and starts its first attempt.
+    fn start_hop(&mut self, now_us: u64, hop: Hop, out: &mut Vec<NodeAction>) {
         let id = HopId(self.next_sequence());
-        if let Some(above) = hop.parent.and_then(|parent| self.inbound.get_mut(&parent)) {
-            above.children.push(id);
+        if let Some(parent_inbound) = hop.parent.and_then(|parent| self.inbound.get_mut(&parent)) {
+            parent_inbound.children.push(id);
         }
-        self.timers.set(hop.deadline_us, Due::HopDeadline(id));
-        self.want_service(now_us, &hop.service, out);
+        self.timers.set(hop.deadline_us, TimerKind::HopDeadline(id));
+        self.request_members(now_us, &hop.service, out);
         self.hops.insert(id, hop);
-        self.attempt(now_us, id, out);
+        self.start_attempt(now_us, id, out);
     }
 
-    /// The trace of a request, which is the caller's own where it brought one.
-    fn root_trace(&mut self, root: RootId, brought: Option<TraceContext>) -> TraceContext {
+    /// The trace context of a request; it continues the caller's trace if there is one.
+    fn root_trace(&mut self, root: RootId, caller_trace: Option<TraceContext>) -> TraceContext {
         let own_span_id = self.rng.random();
-        let trace_id = brought.map_or(root.0, |trace| trace.trace_id);
-        let sampled = is_sampled(&self.settings.telemetry, brought.as_ref(), trace_id);
+        let trace_id = caller_trace.map_or(root.0, |trace| trace.trace_id);
+        let sampled = is_sampled(&self.settings.telemetry, caller_trace.as_ref(), trace_id);
         TraceContext { trace_id, parent_span_id: own_span_id, sampled }
     }
 
-    /// Answers a request that never became a hop.
-    fn reply_unstarted(
+    /// Answers a request for which no hop was created.
+    fn reply_without_hop(
         &self,
         ticket: Ticket,
         root: RootId,
@@ -249,18 +249,18 @@
     }
 }
 
-/// The deadline of a request: what the caller asks for, within what its class allows.
+/// The time a request may take: the caller's deadline, capped by the maximum of its class.
 fn deadline_ms(class: &ClassSettings, asked_ms: Option<u64>) -> u64 {
     asked_ms.unwrap_or(class.deadline_ms).min(class.deadline_max_ms)
 }
 
-/// How a caller's request is kept from running twice.
-fn hop_key(at_most_once: bool, brought: Option<&str>) -> Result<HopKey, ()> {
-    let Some(text) = brought else {
-        return Ok(if at_most_once { HopKey::Own } else { HopKey::None });
+/// How duplicate runs of a caller's request are prevented.
+fn hop_key_of(at_most_once: bool, caller_key: Option<&str>) -> Result<HopKey, ()> {
+    let Some(text) = caller_key else {
+        return Ok(if at_most_once { HopKey::PerAttempt } else { HopKey::None });
     };
     match ParsedKey::parse(text) {
-        Ok(ParsedKey::Minted(key)) => Ok(HopKey::Brought(key)),
+        Ok(ParsedKey::Minted(key)) => Ok(HopKey::Minted(key)),
         Ok(ParsedKey::Foreign(text)) => Ok(HopKey::Foreign(text.to_owned())),
         Err(_) => Err(()),
     }
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -1,4 +1,4 @@
-//! Connections that are lost or come back, and messages that never left.
+//! Connections that are lost or restored, and messages that could not be sent.
 
 use std::net::SocketAddr;
 
@@ -9,19 +9,20 @@
 use super::event::NodeAction;
 use super::hop::{HopId, HopState};
 
-/// How long to wait for a new connection before an attempt counts as "may have run".
-const FENCE_WAIT_US: u64 = 1_500_000;
+/// How long to wait for a new connection before an attempt ends as "may have run".
+const FENCE_TIMEOUT_US: u64 = 1_500_000;
 
 impl Node {
-    /// A connection is lost: reads are tried again, what must run at most once is settled first.
-    pub(super) fn take_link_lost(
+    /// Handles a lost connection. Attempts that may run more than once fail and can be retried;
+    /// at-most-once attempts are fenced first.
+    pub(super) fn on_link_lost(
         &mut self,
         now_us: u64,
         peer: SocketAddr,
         out: &mut Vec<NodeAction>,
     ) {
-        for id in self.asking_retry_at(peer) {
-            self.give_up_asking(now_us, id, out);
+        for id in self.awaiting_grant_from(peer) {
+            self.abandon_retry_request(now_us, id, out);
         }
         let Some(lost) = self.router.node_at(peer) else { return };
         self.router.link_lost(now_us, lost);
@@ -33,20 +34,20 @@
             let Some(hop) = self.hops.get(&id) else { continue };
             if !hop.at_most_once {
                 let verdict = Verdict::MayHaveRun(Doubt::ConnectionLost);
-                self.end_attempt(now_us, id, attempt, lost, verdict, out);
+                self.fail_attempt(now_us, id, attempt, lost, verdict, out);
                 continue;
             }
-            let until_us = (now_us + FENCE_WAIT_US).min(hop.deadline_us);
-            self.enter(id, HopState::Fencing { attempt, node: lost, until_us });
+            let until_us = (now_us + FENCE_TIMEOUT_US).min(hop.deadline_us);
+            self.set_state(id, HopState::Fencing { attempt, node: lost, until_us });
         }
     }
 
-    /// The hops that wait for the leave of the entry node at `address` to retry, in a stable order.
-    fn asking_retry_at(&self, address: SocketAddr) -> Vec<HopId> {
+    /// The hops that wait for a retry decision from the entry node at `address`, sorted by id.
+    fn awaiting_grant_from(&self, address: SocketAddr) -> Vec<HopId> {
         let mut found = Vec::new();
         for (id, hop) in &self.hops {
             if hop.entry_address == Some(address)
-                && matches!(hop.state, HopState::AskingRetry { .. })
+                && matches!(hop.state, HopState::AwaitingRetryGrant { .. })
             {
                 found.push(*id);
             }
@@ -55,13 +56,8 @@
         found
     }
 
-    /// A connection works again: attempts that were on the old one are settled over it.
-    pub(super) fn take_link_up(
-        &mut self,
-        now_us: u64,
-        peer: SocketAddr,
-        out: &mut Vec<NodeAction>,
-    ) {
+    /// Handles a restored connection: fences the attempts that were sent over the old one.
+    pub(super) fn on_link_up(&mut self, now_us: u64, peer: SocketAddr, out: &mut Vec<NodeAction>) {
         let Some(node) = self.router.node_at(peer) else { return };
         self.router.link_up(now_us, node);
         self.log(LogEvent::PeerLinkUp { peer: node, address: peer }, out);
@@ -78,13 +74,13 @@
         }
     }
 
-    /// The hops whose attempt is at a node, in a stable order.
-    pub(super) fn attempts_at(&self, wanted: NodeId) -> Vec<(HopId, AttemptId)> {
+    /// The hops with an attempt at the given node, sorted by id.
+    pub(super) fn attempts_at(&self, receiver: NodeId) -> Vec<(HopId, AttemptId)> {
         let mut found = Vec::new();
         for (id, hop) in &self.hops {
             match hop.state {
                 HopState::Sent { attempt, node, .. } | HopState::Fencing { attempt, node, .. }
-                    if node == wanted =>
+                    if node == receiver =>
                 {
                     found.push((*id, attempt));
                 }
@@ -95,8 +91,8 @@
         found
     }
 
-    /// A message did not leave this process.
-    pub(super) fn take_send_failed(
+    /// Handles a message that did not leave this process.
+    pub(super) fn on_send_failed(
         &mut self,
         now_us: u64,
         message: Message,
@@ -108,10 +104,10 @@
                 let Some(hop) = self.hops.get(&id) else { return };
                 let HopState::Sent { node, .. } = hop.state else { return };
                 let verdict = Verdict::not_run(RefusalReason::NodeFull, 0);
-                self.end_attempt(now_us, id, frame.attempt, node, verdict, out);
+                self.fail_attempt(now_us, id, frame.attempt, node, verdict, out);
             }
-            Message::AskRetry { failed, .. } => self.take_grant(now_us, failed, false, out),
-            // A lost cancellation, fence or gossip is made good by deadlines and repeats.
+            Message::AskRetry { failed, .. } => self.on_retry_grant(now_us, failed, false, out),
+            // Deadlines and periodic repeats cover a lost cancellation, fence or gossip message.
             _ => {}
         }
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,19 +1,19 @@
-//! The node: one aggregate that joins all decisions, without I/O and without a clock.
+//! The decision core of one node, without I/O and without a clock.
 //!
-//! A node is told what happened and when, and answers with actions. One thread owns it (see
-//! `duty::decider`); tests own several and carry the actions between them.
+//! A [`Node`] handles events with their time and returns actions. One thread owns it (see
+//! `duty::decider`); tests own several and deliver the actions between them.
 
+mod cluster;
 mod event;
 pub mod header;
 mod hop;
 mod inbound;
-mod intake;
+mod ingress;
 mod links;
 pub mod note;
 mod platform;
 mod receiving;
 mod retrying;
-mod roster;
 mod sending;
 mod settling;
 mod span;
@@ -47,99 +47,100 @@
 pub use note::Note;
 pub use status::NodeStatus;
 
-use platform::Asked;
-use roster::Roster;
-use timer::{Due, Timers};
+use cluster::Cluster;
+use platform::StoreRequestPurpose;
+use timer::{TimerKind, Timers};
 
-/// Who a node is.
+/// The identity of one node process.
 #[derive(Clone, Debug, Builder, Serialize, Deserialize)]
 pub struct NodeIdentity {
-    /// This life of the node.
+    /// A random id of this process; a restarted node has a new one.
     pub id: NodeId,
-    /// Where other nodes reach it.
+    /// The address at which other nodes reach it.
     pub peer_address: SocketAddr,
-    /// The seed of its random choices.
+    /// The seed of its random number generators.
     pub seed: u64,
-    /// The wall clock at moment zero, in milliseconds since the Unix epoch.
+    /// The wall clock at time zero of the node, in milliseconds since the Unix epoch.
     pub origin_unix_ms: u64,
 }
 
 /// All state of one node.
 pub struct Node {
-    /// Who it is.
+    /// The identity of this process.
     identity: NodeIdentity,
-    /// What it was told at its start.
+    /// The settings it was started with.
     settings: Arc<Settings>,
     /// The rules in force.
     rules: Arc<Rules>,
-    /// The random numbers of its choices.
+    /// Random numbers for calls: ids, keys, routing and backoff.
     rng: SmallRng,
-    /// Which calls the target may run.
+    /// Admission of calls to the target.
     admission: Admission,
-    /// Where calls are sent.
+    /// Selects the node for each attempt.
     router: Router,
-    /// The retry allowances of roots that entered here.
+    /// The retry allowances of roots that entered at this node.
     allowances: RootAllowances,
     /// The retry budgets of this node, by arm.
     budgets: HashMap<ArmId, RetryBudget>,
-    /// What was run under keys of this node.
+    /// The idempotency keys owned by this node, with the results of their runs.
     ledger: Ledger,
-    /// What became of attempts received.
-    book: AttemptBook,
-    /// The other nodes and the configuration in force.
-    roster: Roster,
-    /// Requests being sent on.
+    /// The verdicts of attempts received.
+    attempt_book: AttemptBook,
+    /// Membership and the configuration in force.
+    cluster: Cluster,
+    /// Requests being forwarded.
     hops: HashMap<HopId, Hop>,
-    /// Which hop an attempt on its way belongs to.
+    /// The hop of each attempt sent and not answered, and of each pending retry request.
     outstanding: HashMap<AttemptId, HopId>,
-    /// Attempts received and not finished.
+    /// Attempts received and not yet finished.
     inbound: HashMap<AttemptId, Inbound>,
-    /// Which attempt a target's call belongs to.
+    /// The running attempt for each token that was given to the target.
     tokens: HashMap<String, AttemptId>,
-    /// The target beside this node, once it has announced itself.
-    target: Option<KnownTarget>,
-    /// Typical latency of each service as senders see it, in microseconds.
+    /// The local target, once it has announced itself.
+    target: Option<AnnouncedTarget>,
+    /// Smoothed latency of each service as seen by this sender, in microseconds.
     service_latency_us: HashMap<String, u64>,
-    /// When each service was first asked about, in microseconds since the process started.
-    wanted: HashMap<String, u64>,
-    /// What is due when.
+    /// When the members of each service were first requested, in microseconds since the process
+    /// started.
+    members_requested_us: HashMap<String, u64>,
+    /// Pending timers.
     timers: Timers,
-    /// Frames this node sent to itself, not yet taken in.
+    /// Frames this node sent to itself and has not processed yet.
     local: VecDeque<LocalFrame>,
-    /// When the node may stop, once it leaves.
-    leave_after_us: Option<u64>,
-    /// Whether the node has asked to be stopped.
-    exited: bool,
-    /// What requests to the table service were for.
-    asked: HashMap<u64, Asked>,
-    /// Numbers hops, attempts and requests to the table service.
+    /// When the node may stop; set once it is leaving.
+    stop_after_us: Option<u64>,
+    /// Whether [`NodeAction::Exit`] has been emitted.
+    exit_requested: bool,
+    /// The purpose of each pending request to the table service, by request id.
+    store_requests: HashMap<u64, StoreRequestPurpose>,
+    /// The last number given to a hop, an attempt or a request to the table service.
     sequence: u64,
 }
 
-/// The target beside the node.
+/// The local target.
 #[derive(Clone, Debug)]
-struct KnownTarget {
-    /// What it said about itself.
+struct AnnouncedTarget {
+    /// Its latest announcement.
     announcement: Announcement,
-    /// When it said so last, in microseconds since the process started.
-    heard_us: u64,
+    /// When it was last announced, in microseconds since the process started.
+    announced_us: u64,
 }
 
-/// A frame on its way from this node to itself.
+/// A frame that this node sent to itself.
 #[derive(Debug)]
 enum LocalFrame {
     /// An attempt.
     Call(Box<CallFrame>),
     /// The answer to an attempt.
     Answer(AnswerFrame),
-    /// The sender's loss of interest.
+    /// The sender cancelled an attempt.
     Cancel(AttemptId),
 }
 
 impl Node {
-    /// A node that knows nothing yet but its settings.
+    /// Creates a node from its settings, without any known members.
     ///
-    /// `build` makes the site's rules from a submitted document.
+    /// `build` builds the site's rules from a submitted document.
     pub fn new(
         now_us: u64,
         identity: NodeIdentity,
@@ -155,20 +156,20 @@
             allowances: RootAllowances::new(),
             budgets: HashMap::new(),
             ledger: settling::new_ledger(identity.id),
-            book: settling::new_book(),
-            roster: Roster::new(now_us, &identity, &settings, build),
+            attempt_book: settling::new_attempt_book(),
+            cluster: Cluster::new(now_us, &identity, &settings, build),
             hops: HashMap::new(),
             outstanding: HashMap::new(),
             inbound: HashMap::new(),
             tokens: HashMap::new(),
             target: None,
             service_latency_us: HashMap::new(),
-            wanted: HashMap::new(),
+            members_requested_us: HashMap::new(),
             timers: Timers::default(),
             local: VecDeque::new(),
-            leave_after_us: None,
-            exited: false,
-            asked: HashMap::new(),
+            stop_after_us: None,
+            exit_requested: false,
+            store_requests: HashMap::new(),
             sequence: 0,
             rules,
             settings,
@@ -178,28 +179,28 @@
         node
     }
 
-    /// Takes one event in and appends what is to be done to `out`.
+    /// Handles one event, runs the timers that are due and appends the resulting actions to `out`.
     pub fn handle(&mut self, now_us: u64, event: NodeEvent, out: &mut Vec<NodeAction>) {
-        self.take(now_us, event, out);
-        self.run_local(now_us, out);
-        self.run_due(now_us, out);
-        self.run_local(now_us, out);
-        self.check_left(now_us, out);
+        self.dispatch(now_us, event, out);
+        self.process_local_frames(now_us, out);
+        self.run_timers(now_us, out);
+        self.process_local_frames(now_us, out);
+        self.exit_when_drained(now_us, out);
     }
 
-    /// When the node wants to be told that time has passed.
+    /// When the node next needs a [`NodeEvent::Tick`], in microseconds since the process started.
     pub fn next_wake_us(&self) -> Option<u64> {
         let sources = [
             self.timers.next_us(),
             self.admission.next_wake_us(),
-            self.roster.next_wake_us(),
-            self.target_silent_us(),
-            self.leave_after_us.filter(|_| !self.exited),
+            self.cluster.next_wake_us(),
+            self.target_expiry_us(),
+            self.stop_after_us.filter(|_| !self.exit_requested),
         ];
         sources.into_iter().flatten().min()
     }
 
-    /// Who the node is.
+    /// The id of this process.
     pub fn id(&self) -> NodeId {
         self.identity.id
     }
@@ -209,71 +210,74 @@
         self.identity.origin_unix_ms + now_us / crate::clock::US_PER_MS
     }
 
-    /// Takes one event in.
-    fn take(&mut self, now_us: u64, event: NodeEvent, out: &mut Vec<NodeAction>) {
+    /// Passes an event to its handler.
+    fn dispatch(&mut self, now_us: u64, event: NodeEvent, out: &mut Vec<NodeAction>) {
         match event {
-            NodeEvent::CallerCall(intake) => self.take_caller_call(now_us, intake, out),
+            NodeEvent::CallerCall(intake) => self.on_caller_call(now_us, intake, out),
             NodeEvent::MintKey { ticket, service } => {
-                self.mint_for_caller(now_us, ticket, &service, out);
+                self.mint_key_for_caller(now_us, ticket, &service, out);
             }
-            NodeEvent::CallerGone { ticket } => self.take_caller_gone(now_us, ticket, out),
+            NodeEvent::CallerGone { ticket } => self.on_caller_gone(now_us, ticket, out),
             NodeEvent::TargetCall { intake, token } => {
-                self.take_target_call(now_us, intake, token.as_deref(), out);
+                self.on_target_call(now_us, intake, token.as_deref(), out);
             }
             NodeEvent::PeerRequest { path, message } => {
-                self.take_request(now_us, ReplyPath::Peer(path), message, out);
+                self.on_peer_request(now_us, ReplyPath::Peer(path), message, out);
             }
-            NodeEvent::PeerReply { message, .. } => self.take_reply(now_us, message, out),
-            NodeEvent::LinkLost { peer } => self.take_link_lost(now_us, peer, out),
-            NodeEvent::LinkUp { peer } => self.take_link_up(now_us, peer, out),
-            NodeEvent::SendFailed { message } => self.take_send_failed(now_us, message, out),
+            NodeEvent::PeerReply { message, .. } => self.on_peer_reply(now_us, message, out),
+            NodeEvent::LinkLost { peer } => self.on_link_lost(now_us, peer, out),
+            NodeEvent::LinkUp { peer } => self.on_link_up(now_us, peer, out),
+            NodeEvent::SendFailed { message } => self.on_send_failed(now_us, message, out),
             NodeEvent::TargetEnded { attempt, outcome } => {
-                self.take_target_ended(now_us, attempt, outcome, out);
+                self.on_target_ended(now_us, attempt, outcome, out);
             }
             NodeEvent::TargetAnnounced(announcement) => {
-                self.take_announcement(now_us, announcement, out);
+                self.on_target_announced(now_us, announcement, out);
             }
-            NodeEvent::Submit(submit) => self.take_submission(now_us, submit, out),
-            NodeEvent::Leave { asked_by } => self.leave(now_us, asked_by, out),
-            NodeEvent::Store(event) => self.take_store_event(now_us, event, out),
+            NodeEvent::Submit(submit) => self.on_submit(now_us, submit, out),
+            NodeEvent::Leave { asked_by } => self.start_leaving(now_us, asked_by, out),
+            NodeEvent::Store(event) => self.on_store_event(now_us, event, out),
             NodeEvent::Tick => {}
         }
     }
 
-    /// Takes in the frames this node sent to itself.
-    fn run_local(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
+    /// Processes the frames that this node sent to itself.
+    fn process_local_frames(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
         while let Some(frame) = self.local.pop_front() {
             match frame {
-                LocalFrame::Call(call) => self.receive_call(now_us, ReplyPath::Local, *call, out),
-                LocalFrame::Answer(answer) => self.take_answer(now_us, answer, out),
-                LocalFrame::Cancel(attempt) => self.receive_cancel(now_us, attempt, out),
+                LocalFrame::Call(call) => self.on_call(now_us, ReplyPath::Local, *call, out),
+                LocalFrame::Answer(answer) => self.on_answer(now_us, answer, out),
+                LocalFrame::Cancel(attempt) => self.on_cancel(now_us, attempt, out),
             }
         }
     }
 
-    /// Does everything that is due.
-    fn run_due(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
-        while let Some(due) = self.timers.pop(now_us) {
-            match due {
-                Due::HopDeadline(hop) => self.hop_deadline(now_us, hop, out),
-                Due::HopStep(hop) => self.hop_step(now_us, hop, out),
-                Due::InboundDeadline(attempt) => self.inbound_deadline(now_us, attempt, out),
+    /// Runs the timers that are due and the periodic work of all components.
+    fn run_timers(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
+        while let Some(timer) = self.timers.pop(now_us) {
+            match timer {
+                TimerKind::HopDeadline(hop) => self.on_hop_deadline(now_us, hop, out),
+                TimerKind::HopTimeout(hop) => self.on_hop_timeout(now_us, hop, out),
+                TimerKind::InboundDeadline(attempt) => {
+                    self.on_inbound_deadline(now_us, attempt, out);
+                }
             }
-            // An answer that this timer gave to the node itself counts before later timers: else a
-            // request refused in the queue would end in doubt by its sender's own deadline.
-            self.run_local(now_us, out);
+            // A local answer produced by this timer must be processed before later timers. Otherwise a
+            // request refused in the queue would reach its sender's deadline first and end as "may have
+            // run".
+            self.process_local_frames(now_us, out);
         }
         let mut decisions = Vec::new();
         self.admission.poll(now_us, &mut decisions);
         self.apply_decisions(now_us, decisions, out);
-        self.check_target(now_us, out);
-        self.run_roster(now_us, out);
+        self.expire_target(now_us, out);
+        self.tick_cluster(now_us, out);
         self.allowances.expire(now_us);
-        self.book.expire(now_us);
+        self.attempt_book.expire(now_us);
         self.ledger.expire(self.unix_ms(now_us));
     }
 
-    /// Carries out what admission decided.
+    /// Applies the decisions of admission.
     fn apply_decisions(
         &mut self,
         now_us: u64,
@@ -290,7 +294,8 @@
         }
     }
 
-    /// Sends a message to another node, or to this one.
+    /// Sends a message to another node or to this one. Returns false where the node's address is
+    /// unknown.
     fn send(&mut self, to: NodeId, message: Message, out: &mut Vec<NodeAction>) -> bool {
         if to == self.identity.id {
             self.send_local(message);
@@ -306,24 +311,24 @@
         match message {
             Message::Call(call) => self.local.push_back(LocalFrame::Call(call)),
             Message::Cancel(attempt) => self.local.push_back(LocalFrame::Cancel(attempt)),
-            // Nothing else is ever addressed to oneself: a node's own allowance and book are read
-            // directly, and its connection to itself cannot be lost.
+            // No other message is addressed to this node itself: its allowances and attempt book are
+            // read directly, and there is no connection to lose.
             _ => {}
         }
     }
 
-    /// Writes an event to the log.
+    /// Emits a log event.
     fn log(&self, event: LogEvent, out: &mut Vec<NodeAction>) {
         out.push(NodeAction::Note(Note::Event(Box::new(event))));
     }
 
-    /// The number of the next hop or attempt.
+    /// The next number for a hop, an attempt or a request to the table service.
     fn next_sequence(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
     }
 
-    /// Makes the retry budgets those of the rules in force; what an arm has earned stays.
+    /// Applies the rules in force to the retry budgets; what an arm has earned is kept.
     fn reset_budgets(&mut self) {
         let mut kept = std::mem::take(&mut self.budgets);
         for arm in &self.rules.arms {
--- a/src/node/note.rs
+++ b/src/node/note.rs
@@ -1,4 +1,4 @@
-//! What the node wants to be known of it: log events and figures.
+//! Log events, metrics and spans that the node emits.
 
 use std::sync::Arc;
 
@@ -8,12 +8,12 @@
 use crate::telemetry::metrics::{CallSource, Outcome, RetryOutcome};
 use crate::telemetry::trace::SpanRecord;
 
-/// Something for the log or the metrics.
+/// A record for the log, the metrics or the traces.
 #[derive(Clone, Debug)]
 pub enum Note {
-    /// An event for the log.
+    /// A log event.
     Event(Box<LogEvent>),
-    /// A whole call has ended.
+    /// A request on one of the node's own listeners has ended.
     CallEnded {
         /// Where it came from.
         from: CallSource,
@@ -21,36 +21,36 @@
         class: ClassRank,
         /// Its arm.
         arm: ArmId,
-        /// What became of it.
+        /// Its outcome.
         outcome: Outcome,
         /// How long it took, in microseconds.
         took_us: u64,
     },
-    /// An attempt that was sent has ended.
+    /// An attempt sent by this node has ended.
     AttemptEnded {
         /// The service it was for.
         service: String,
         /// Its arm.
         arm: ArmId,
-        /// What became of it.
+        /// Its outcome.
         outcome: Outcome,
     },
-    /// One more attempt was wished for.
+    /// A retry was granted or refused.
     RetryDecided {
         /// The service it is for.
         service: String,
         /// Its arm.
         arm: ArmId,
-        /// What became of the wish.
+        /// The decision, with the reason of a refusal.
         outcome: RetryOutcome,
     },
-    /// An attempt that was received has ended.
+    /// An attempt received by this node has ended.
     ReceivedEnded {
         /// Its class.
         class: ClassRank,
         /// Its arm.
         arm: ArmId,
-        /// What became of it.
+        /// Its outcome.
         outcome: Outcome,
     },
     /// The target has finished with an attempt.
@@ -59,15 +59,15 @@
         class: ClassRank,
         /// Its arm.
         arm: ArmId,
-        /// How long the target had it, in microseconds.
+        /// How long it ran at the target, in microseconds.
         took_us: u64,
-        /// Whether it was for nothing: the target gave no answer of use, or nobody waited for it any
-        /// more.
+        /// Whether the run was wasted: the target gave no healthy answer, or the verdict had already
+        /// been sent.
         wasted: bool,
     },
-    /// A hop, or a received attempt, of a trace that is recorded.
+    /// The span of a hop or of a received attempt, for sampled traces.
     Span(Box<SpanRecord>),
-    /// Rules are in force from now on.
+    /// New rules are in force.
     RulesInForce {
         /// Their version.
         version: u64,
@@ -76,7 +76,7 @@
     },
 }
 
-/// A verdict in the words of headers, logs and metrics.
+/// A verdict as named in headers, logs and metrics.
 pub fn outcome_of(verdict: &Verdict) -> Outcome {
     match verdict {
         Verdict::Answered(answer) => {
@@ -87,7 +87,7 @@
     }
 }
 
-/// The class of an HTTP status.
+/// The class of an HTTP status; all unknown codes count as 5xx.
 fn status_class(status: u16) -> &'static str {
     match status {
         100..=199 => "1xx",
--- a/src/node/platform.rs
+++ b/src/node/platform.rs
@@ -1,4 +1,4 @@
-//! What the node asks the platform's table service, and what it makes of the answers.
+//! Requests to the platform's table service and the handling of their answers.
 
 use serde_json::Value;
 
@@ -16,73 +16,73 @@
 use super::event::NodeAction;
 use super::hop::{HopId, HopKey, HopState};
 
-/// When a caller should come back whose key could not be claimed, in milliseconds.
+/// The retry-after sent to callers whose key could not be claimed, in milliseconds.
 const UNCLAIMED_RETRY_MS: u32 = 2_000;
 
-/// What a request to the table service was for.
+/// The purpose of a request to the table service.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Asked {
-    /// To write the node's own row.
+pub(super) enum StoreRequestPurpose {
+    /// Write the node's own row.
     MemberWrite,
-    /// To delete the row of a member that is gone.
+    /// Delete the row of a member that is gone.
     MemberDelete,
-    /// To read the rows of a service.
+    /// Read the rows of a service's members.
     Members {
         /// The service.
         service: String,
     },
-    /// To read the configuration's row.
+    /// Read the configuration's row.
     ConfigurationRead,
-    /// To write the configuration's row.
+    /// Write the configuration's row.
     ConfigurationWrite {
         /// The random number of the submission.
         submission: u64,
     },
-    /// To claim the key of a hop.
+    /// Claim the key of a hop.
     Claim(HopId),
 }
 
 impl Node {
-    /// Asks the table service for something.
-    pub(super) fn ask_store(
+    /// Sends a request to the table service.
+    pub(super) fn send_store_request(
         &mut self,
-        asked: Asked,
+        purpose: StoreRequestPurpose,
         operation: StoreOperation,
         out: &mut Vec<NodeAction>,
     ) {
         let id = self.next_sequence();
-        self.asked.insert(id, asked);
+        self.store_requests.insert(id, purpose);
         out.push(NodeAction::Store(StoreRequest { id, operation }));
     }
 
-    /// Takes in an answer of the table service.
-    pub(super) fn take_store_event(
+    /// Handles an answer from the table service.
+    pub(super) fn on_store_event(
         &mut self,
         now_us: u64,
         event: StoreEvent,
         out: &mut Vec<NodeAction>,
     ) {
-        let Some(asked) = self.asked.remove(&event.id) else { return };
-        match asked {
-            Asked::MemberWrite => {
-                let told = member_written(event.outcome);
-                self.tell_membership(now_us, told, out);
+        let Some(purpose) = self.store_requests.remove(&event.id) else { return };
+        match purpose {
+            StoreRequestPurpose::MemberWrite => {
+                let event = member_write_event(event.outcome);
+                self.notify_membership(now_us, event, out);
             }
-            Asked::Members { service } => {
-                self.take_members(now_us, &service, event.outcome, out);
+            StoreRequestPurpose::Members { service } => {
+                self.on_members_read(now_us, &service, event.outcome, out);
             }
-            Asked::ConfigurationRead => {
-                let read = ConfigurationEvent::TableRead(row_read(event.outcome));
-                self.tell_configuration(now_us, read, out);
+            StoreRequestPurpose::ConfigurationRead => {
+                let read = ConfigurationEvent::TableRead(row_read_result(event.outcome));
+                self.notify_configuration(now_us, read, out);
             }
-            Asked::ConfigurationWrite { submission } => {
-                let write = row_written(event.outcome);
+            StoreRequestPurpose::ConfigurationWrite { submission } => {
+                let write = row_write_result(event.outcome);
                 let written = ConfigurationEvent::TableWritten { submission, write };
-                self.tell_configuration(now_us, written, out);
+                self.notify_configuration(now_us, written, out);
             }
-            Asked::Claim(hop) => self.take_claim(now_us, hop, event.outcome, out),
-            // A row that could not be deleted is seen, and deleted, again.
-            Asked::MemberDelete => {}
+            StoreRequestPurpose::Claim(hop) => self.on_claim(now_us, hop, event.outcome, out),
+            // A row that could not be deleted is found by a later read and deleted then.
+            StoreRequestPurpose::MemberDelete => {}
         }
     }
 
@@ -98,7 +98,7 @@
             value: serde_json::to_value(member).unwrap_or(Value::Null),
             condition: expected.map_or(Condition::Absent, Condition::Version),
         };
-        self.ask_store(Asked::MemberWrite, operation, out);
+        self.send_store_request(StoreRequestPurpose::MemberWrite, operation, out);
     }
 
     /// Writes the configuration's row.
@@ -113,12 +113,13 @@
             value: accepted.to_value().unwrap_or(Value::Null),
             condition: expected.map_or(Condition::Absent, Condition::Version),
         };
-        let asked = Asked::ConfigurationWrite { submission: accepted.entry.submission };
-        self.ask_store(asked, operation, out);
+        let purpose =
+            StoreRequestPurpose::ConfigurationWrite { submission: accepted.entry.submission };
+        self.send_store_request(purpose, operation, out);
     }
 
-    /// Takes in the rows of a service.
-    fn take_members(
+    /// Handles the rows of a service's members.
+    fn on_members_read(
         &mut self,
         now_us: u64,
         service: &str,
@@ -126,41 +127,51 @@
         out: &mut Vec<NodeAction>,
     ) {
         let Ok(StoreOutcome::Rows(rows)) = outcome else {
-            self.tell_membership(now_us, MembershipEvent::ReadFailed { service }, out);
+            self.notify_membership(now_us, MembershipEvent::ReadFailed { service }, out);
             return;
         };
-        let rows = rows.into_iter().filter_map(member_row).collect();
-        self.tell_membership(now_us, MembershipEvent::RowsRead { service, rows }, out);
+        let rows = rows.into_iter().filter_map(parse_member_row).collect();
+        self.notify_membership(now_us, MembershipEvent::RowsRead { service, rows }, out);
     }
 
-    /// Asks the platform who owns a key of the caller's own making.
-    pub(super) fn claim(&mut self, now_us: u64, id: HopId, text: &str, out: &mut Vec<NodeAction>) {
+    /// Claims a key of the caller's own format, which binds it to an owner.
+    pub(super) fn claim_key(
+        &mut self,
+        now_us: u64,
+        id: HopId,
+        text: &str,
+        out: &mut Vec<NodeAction>,
+    ) {
         let Some(hop) = self.hops.get(&id) else { return };
         let key = claim_row_key(&hop.service, text);
-        let ask = PickRequest {
+        let pick = PickRequest {
             service: &hop.service,
             arm: hop.arm,
             class: hop.class,
             level: hop.level,
             avoid: &[],
         };
-        match self.router.pick(now_us, &ask, &mut self.rng) {
+        match self.router.pick(now_us, &pick, &mut self.rng) {
             Ok(owner) => {
-                let minted = self.mint(now_us, owner, KeyLifetime::Caller);
+                let minted = self.mint_key(now_us, owner, KeyLifetime::Caller);
                 let claim = Claim {
                     owner: minted.owner,
                     nonce: minted.nonce,
                     minted_unix_ms: minted.minted_unix_ms,
                 };
-                self.enter(id, HopState::Claiming);
-                self.ask_store(Asked::Claim(id), StoreOperation::ClaimKey { key, claim }, out);
+                self.set_state(id, HopState::Claiming);
+                self.send_store_request(
+                    StoreRequestPurpose::Claim(id),
+                    StoreOperation::ClaimKey { key, claim },
+                    out,
+                );
             }
-            Err(refusal) => self.conclude(now_us, id, Verdict::NotRun(refusal), out),
+            Err(refusal) => self.finish_hop(now_us, id, Verdict::NotRun(refusal), out),
         }
     }
 
-    /// Takes in who owns the key of a hop.
-    fn take_claim(
+    /// Handles the answer to the claim of a hop's key.
+    fn on_claim(
         &mut self,
         now_us: u64,
         id: HopId,
@@ -173,58 +184,58 @@
         }
         if let Ok(StoreOutcome::Claimed(claim)) = outcome {
             let Claim { owner, nonce, minted_unix_ms } = claim;
-            hop.key = HopKey::Brought(Key { owner, minted_unix_ms, nonce });
-            self.attempt(now_us, id, out);
+            hop.key = HopKey::Minted(Key { owner, minted_unix_ms, nonce });
+            self.start_attempt(now_us, id, out);
             return;
         }
-        // Nothing was sent to any target for this request, whatever became of the claim.
+        // Whether or not the claim was applied, no attempt was sent for this request.
         let verdict = Verdict::not_run(RefusalReason::KeyUnclaimed, UNCLAIMED_RETRY_MS);
-        self.conclude(now_us, id, verdict, out);
+        self.finish_hop(now_us, id, verdict, out);
     }
 }
 
-/// What the membership is told of a write of its row.
-fn member_written(outcome: Result<StoreOutcome, StoreError>) -> MembershipEvent<'static> {
+/// The membership event for the outcome of writing the node's own row.
+fn member_write_event(outcome: Result<StoreOutcome, StoreError>) -> MembershipEvent<'static> {
     match outcome {
         Ok(StoreOutcome::Written { version }) => MembershipEvent::RowWritten { version },
         Ok(StoreOutcome::Conflict { present }) => {
             let version = present.as_ref().map(|row| row.version);
-            let present = present.and_then(member_row).map(|row| row.member);
+            let present = present.and_then(parse_member_row).map(|row| row.member);
             MembershipEvent::RowConflict { version, present }
         }
         _ => MembershipEvent::WriteFailed,
     }
 }
 
-/// A row as the membership sees it, or none where it makes no sense.
-fn member_row(row: Row) -> Option<MemberRow> {
+/// Parses a member's row; none if it is malformed.
+fn parse_member_row(row: Row) -> Option<MemberRow> {
     MemberRow::parse(&row.value, row.version)
 }
 
-/// What came of reading the configuration's row.
-fn row_read(outcome: Result<StoreOutcome, StoreError>) -> RowRead {
+/// The result of reading the configuration's row.
+fn row_read_result(outcome: Result<StoreOutcome, StoreError>) -> RowRead {
     match outcome {
         Ok(StoreOutcome::Row(Some(row))) => {
-            table_row(row).map_or(RowRead::Failed, RowRead::Present)
+            parse_table_row(row).map_or(RowRead::Failed, RowRead::Present)
         }
         Ok(StoreOutcome::Row(None)) => RowRead::Absent,
         _ => RowRead::Failed,
     }
 }
 
-/// What came of writing the configuration's row.
-fn row_written(outcome: Result<StoreOutcome, StoreError>) -> RowWrite {
+/// The result of writing the configuration's row.
+fn row_write_result(outcome: Result<StoreOutcome, StoreError>) -> RowWrite {
     match outcome {
         Ok(StoreOutcome::Written { version }) => RowWrite::Written { row_version: version },
         Ok(StoreOutcome::Conflict { present }) => {
-            RowWrite::Conflict { present: present.and_then(table_row) }
+            RowWrite::Conflict { present: present.and_then(parse_table_row) }
         }
         Err(error) if error.certainty == Certainty::NotApplied => RowWrite::NotApplied,
         _ => RowWrite::MayHaveBeenApplied,
     }
 }
 
-/// The configuration's row, or none where it makes no sense.
-fn table_row(row: Row) -> Option<TableRow> {
+/// Parses the configuration's row; none if it is malformed.
+fn parse_table_row(row: Row) -> Option<TableRow> {
     TableRow::parse(&row.value, row.version)
 }
--- a/src/node/receiving.rs
+++ b/src/node/receiving.rs
@@ -1,4 +1,4 @@
-//! The receiving side: attempts from other nodes and what the target makes of them.
+//! The receiving side: attempts from other nodes and their runs at the local target.
 
 use crate::admission::{CancelResult, Candidate, End, TargetState};
 use crate::call::{
@@ -6,25 +6,26 @@
 };
 use crate::clock::{US_PER_MS, US_PER_S};
 use crate::event::LogEvent;
-use crate::once::{Arrival, FenceReply, Fingerprint, Offer, ReturnPath as WayBack};
+use crate::once::{Arrival, FenceReply, Fingerprint, Offer, ReturnPath as BookReturnPath};
 
 use super::event::{Announcement, Asker, NodeAction, ReplyPath, TargetCall, TargetOutcome};
 use super::inbound::{Inbound, Stage};
 use super::note::Note;
-use super::{Due, KnownTarget, Node};
+use super::{AnnouncedTarget, Node, TimerKind};
 
-/// How long a target may be silent before it counts as gone.
-const TARGET_SILENT_US: u64 = 10 * US_PER_S;
-/// When a caller should come back to a node whose target is not there, in milliseconds.
+/// How long a target may go without an announcement before it counts as gone.
+const TARGET_SILENCE_MAX_US: u64 = 10 * US_PER_S;
+/// The retry-after sent while the node has no usable target, in milliseconds.
 const NO_TARGET_RETRY_MS: u32 = 1_000;
-/// The node keeps the ways back itself, because one of them may be to itself.
-const NO_WAY_BACK: WayBack = WayBack(0);
-/// The deepest chain that is served; a deeper one is taken for a loop.
+/// A placeholder for the attempt book. The node tracks return paths itself, because a reply may go
+/// to the node itself.
+const NO_RETURN_PATH: BookReturnPath = BookReturnPath(0);
+/// The maximum depth of a call chain; a deeper one is treated as a loop.
 const DEPTH_MAX: u8 = 32;
 
 impl Node {
-    /// Takes in a message that opens an exchange.
-    pub(super) fn take_request(
+    /// Handles a message that opens an exchange.
+    pub(super) fn on_peer_request(
         &mut self,
         now_us: u64,
         path: ReplyPath,
@@ -32,28 +33,29 @@
         out: &mut Vec<NodeAction>,
     ) {
         match message {
-            Message::Call(frame) => self.receive_call(now_us, path, *frame, out),
-            Message::Cancel(attempt) => self.receive_cancel(now_us, attempt, out),
+            Message::Call(frame) => self.on_call(now_us, path, *frame, out),
+            Message::Cancel(attempt) => self.on_cancel(now_us, attempt, out),
             Message::Fence { attempt, asked, .. } if asked != self.identity.id => {
-                // Whoever the attempt was sent to is gone, and with it the word on the attempt.
+                // The attempt was sent to an earlier process at this address, which took the verdict
+                // with it.
                 let verdict = Verdict::MayHaveRun(Doubt::ConnectionLost);
                 self.answer_with(path, attempt, verdict, LoadReport::default(), out);
             }
             Message::Fence { attempt, remaining_us, .. } => {
-                self.receive_fence(now_us, path, attempt, remaining_us, out);
+                self.on_fence(now_us, path, attempt, remaining_us, out);
             }
             Message::AskRetry { root, failed } => {
-                self.grant_retry(now_us, path, root, failed, out);
+                self.decide_retry(now_us, path, root, failed, out);
             }
-            Message::Gossip(bytes) => self.take_gossip(now_us, &bytes, out),
-            Message::Configuration(bytes) => self.take_configuration(now_us, &bytes, out),
-            // Pings are answered by the connection itself, and replies never open an exchange.
+            Message::Gossip(bytes) => self.on_gossip(now_us, &bytes, out),
+            Message::Configuration(bytes) => self.on_configuration(now_us, &bytes, out),
+            // Pings are answered by the connection; replies never open an exchange.
             _ => {}
         }
     }
 
-    /// Takes in an attempt.
-    pub(super) fn receive_call(
+    /// Handles an attempt.
+    pub(super) fn on_call(
         &mut self,
         now_us: u64,
         path: ReplyPath,
@@ -62,7 +64,7 @@
     ) {
         let attempt = frame.attempt;
         let deadline_us = now_us.saturating_add(frame.remaining_us);
-        match self.book.arrive(now_us, attempt, deadline_us, NO_WAY_BACK) {
+        match self.attempt_book.arrive(now_us, attempt, deadline_us, NO_RETURN_PATH) {
             Arrival::New => {}
             Arrival::Repeat(verdict) => {
                 self.answer(now_us, path, &frame, verdict, out);
@@ -70,7 +72,7 @@
             }
             Arrival::InProgress => {
                 if let Some(inbound) = self.inbound.get_mut(&attempt) {
-                    inbound.paths.push(path);
+                    inbound.reply_paths.push(path);
                 }
                 return;
             }
@@ -79,34 +81,34 @@
                 return;
             }
         }
-        let refusal = self.unfit(&frame);
+        let refusal = self.precheck(&frame);
         self.insert_inbound(now_us, path, frame, deadline_us);
         self.offer(now_us, attempt, refusal, out);
     }
 
-    /// Why an attempt cannot be taken in at all.
-    fn unfit(&self, frame: &CallFrame) -> Option<Refusal> {
+    /// The refusal of an attempt that cannot be offered to admission, if any.
+    fn precheck(&self, frame: &CallFrame) -> Option<Refusal> {
         let refuse = |reason, retry_after_ms| Some(Refusal { reason, retry_after_ms });
         if frame.service != self.settings.node.service || frame.depth > DEPTH_MAX {
             return refuse(RefusalReason::Malformed, 0);
         }
-        if self.leave_after_us.is_some() {
+        if self.stop_after_us.is_some() {
             return refuse(RefusalReason::Leaving, 0);
         }
-        if self.target.is_none() || !self.roster.is_ready() {
+        if self.target.is_none() || !self.cluster.is_ready() {
             return refuse(RefusalReason::NotReady, NO_TARGET_RETRY_MS);
         }
         None
     }
 
-    /// Registers an attempt.
+    /// Registers an attempt and sets its deadline timer.
     fn insert_inbound(&mut self, now_us: u64, path: ReplyPath, frame: CallFrame, deadline_us: u64) {
         let attempt = frame.attempt;
         let token = format!("{:032x}", rand::Rng::random::<u128>(&mut self.rng));
         let span_id = rand::Rng::random(&mut self.rng);
         let inbound = Inbound {
             frame,
-            paths: vec![path],
+            reply_paths: vec![path],
             arrived_us: now_us,
             deadline_us,
             stage: Stage::Queued,
@@ -116,13 +118,13 @@
             token,
         };
         self.inbound.insert(attempt, inbound);
-        self.timers.set(deadline_us, Due::InboundDeadline(attempt));
+        self.timers.set(deadline_us, TimerKind::InboundDeadline(attempt));
     }
 
-    /// Offers an attempt to the ledger, where it has a key, and then to admission.
+    /// Offers an attempt to the ledger, if it has a key, and then to admission.
     ///
-    /// The ledger goes first: a key that has run gets its recorded answer even from a node that
-    /// takes no new work.
+    /// The ledger comes first, so that a key that has run gets its recorded answer even from a node
+    /// that accepts no new calls.
     fn offer(
         &mut self,
         now_us: u64,
@@ -162,7 +164,7 @@
         self.apply_decisions(now_us, decisions, out);
     }
 
-    /// Gives an admitted attempt to the target.
+    /// Sends an admitted attempt to the target.
     pub(super) fn run_on_target(
         &mut self,
         now_us: u64,
@@ -208,8 +210,8 @@
         })));
     }
 
-    /// Takes in what the target made of an attempt.
-    pub(super) fn take_target_ended(
+    /// Handles the outcome of an attempt at the target.
+    pub(super) fn on_target_ended(
         &mut self,
         now_us: u64,
         attempt: AttemptId,
@@ -230,12 +232,12 @@
             TargetOutcome::Aborted => End::Cancelled,
             _ => End::Failed { latency_us },
         };
-        let of_use = matches!(end, End::Answered { healthy: true, .. }) && !inbound.settled;
+        let is_useful = matches!(end, End::Answered { healthy: true, .. }) && !inbound.settled;
         out.push(NodeAction::Note(Note::TargetEnded {
             class: inbound.frame.class,
             arm: inbound.frame.arm,
             took_us: latency_us,
-            wasted: !of_use,
+            wasted: !is_useful,
         }));
         let verdict = verdict_of(outcome);
         self.finish_key(now_us, attempt, &verdict, out);
@@ -244,14 +246,14 @@
         self.free_slot(now_us, attempt, end, out);
     }
 
-    /// Frees the slot of an attempt and starts whatever waited for it.
+    /// Releases the slot of an attempt and starts the calls that can now be admitted.
     fn free_slot(&mut self, now_us: u64, attempt: AttemptId, end: End, out: &mut Vec<NodeAction>) {
         let mut decisions = Vec::new();
         self.admission.finish(now_us, attempt, end, &mut decisions);
         self.apply_decisions(now_us, decisions, out);
     }
 
-    /// Refuses an attempt that waited for admission.
+    /// Refuses a registered attempt that has not been sent to the target.
     pub(super) fn refuse_inbound(
         &mut self,
         now_us: u64,
@@ -265,13 +267,8 @@
         self.inbound.remove(&attempt);
     }
 
-    /// Takes in the sender's loss of interest.
-    pub(super) fn receive_cancel(
-        &mut self,
-        now_us: u64,
-        attempt: AttemptId,
-        out: &mut Vec<NodeAction>,
-    ) {
+    /// Handles the cancellation of an attempt by its sender.
+    pub(super) fn on_cancel(&mut self, now_us: u64, attempt: AttemptId, out: &mut Vec<NodeAction>) {
         let Some(inbound) = self.inbound.get(&attempt) else { return };
         if inbound.stage == Stage::Joined {
             if let Some(key) = inbound.frame.key {
@@ -285,7 +282,7 @@
         let mut decisions = Vec::new();
         match self.admission.cancel(now_us, attempt, &mut decisions) {
             CancelResult::WasQueued => self.apply_decisions(now_us, decisions, out),
-            // What must run at most once is left to finish, so that its outcome is known.
+            // An at-most-once call is left to finish, so that its outcome is known.
             CancelResult::IsRunning if keyed => {}
             CancelResult::IsRunning => {
                 self.abort_running(now_us, attempt, Doubt::Cancelled, out);
@@ -294,7 +291,7 @@
         }
     }
 
-    /// Answers at once for an attempt that the target still has, and tells the target to give up.
+    /// Aborts an attempt at the target and answers it at once, without waiting for the target.
     fn abort_running(
         &mut self,
         now_us: u64,
@@ -309,8 +306,8 @@
         self.settle(now_us, attempt, Verdict::MayHaveRun(doubt), out);
     }
 
-    /// Takes in the question what became of an attempt.
-    fn receive_fence(
+    /// Handles a fence: returns the verdict of an attempt, or bars it if it has not arrived yet.
+    fn on_fence(
         &mut self,
         now_us: u64,
         path: ReplyPath,
@@ -319,12 +316,12 @@
         out: &mut Vec<NodeAction>,
     ) {
         let until_us = now_us.saturating_add(remaining_us);
-        let verdict = match self.book.fence(now_us, attempt, until_us, NO_WAY_BACK) {
+        let verdict = match self.attempt_book.fence(now_us, attempt, until_us, NO_RETURN_PATH) {
             FenceReply::Settled(verdict) => verdict,
             FenceReply::NowFenced => Verdict::not_run(RefusalReason::Fenced, 0),
             FenceReply::InProgress => {
                 if let Some(inbound) = self.inbound.get_mut(&attempt) {
-                    inbound.paths.push(path);
+                    inbound.reply_paths.push(path);
                 }
                 return;
             }
@@ -332,8 +329,8 @@
         self.answer_with(path, attempt, verdict, LoadReport::default(), out);
     }
 
-    /// The deadline of an attempt has passed.
-    pub(super) fn inbound_deadline(
+    /// Handles the expiry of an attempt's deadline.
+    pub(super) fn on_inbound_deadline(
         &mut self,
         now_us: u64,
         attempt: AttemptId,
@@ -341,7 +338,7 @@
     ) {
         let Some(inbound) = self.inbound.get(&attempt) else { return };
         match inbound.stage {
-            Stage::Joined | Stage::Queued => self.receive_cancel(now_us, attempt, out),
+            Stage::Joined | Stage::Queued => self.on_cancel(now_us, attempt, out),
             Stage::Running { .. } if inbound.frame.key.is_some() => {
                 self.settle(now_us, attempt, Verdict::MayHaveRun(Doubt::Timeout), out);
             }
@@ -350,8 +347,8 @@
         }
     }
 
-    /// Takes in what the target says about itself.
-    pub(super) fn take_announcement(
+    /// Handles an announcement of the local target.
+    pub(super) fn on_target_announced(
         &mut self,
         now_us: u64,
         announcement: Announcement,
@@ -361,10 +358,11 @@
             return;
         }
         let (slots, connections) = (announcement.slots, announcement.connections);
-        let fresh = self.target.as_ref().is_none_or(|known| known.announcement != announcement);
+        let is_changed =
+            self.target.as_ref().is_none_or(|known| known.announcement != announcement);
         let (url, service) = (announcement.url.clone(), announcement.service.clone());
-        self.target = Some(KnownTarget { announcement, heard_us: now_us });
-        if !fresh {
+        self.target = Some(AnnouncedTarget { announcement, announced_us: now_us });
+        if !is_changed {
             return;
         }
         let state = TargetState::Warming { since_us: now_us };
@@ -373,18 +371,18 @@
         self.announce_target(now_us, slots, connections, out);
     }
 
-    /// When the target will have been silent for too long, in microseconds.
-    pub(super) fn target_silent_us(&self) -> Option<u64> {
-        self.target.as_ref().map(|target| target.heard_us + TARGET_SILENT_US)
+    /// When the target counts as gone unless it announces itself again, in microseconds.
+    pub(super) fn target_expiry_us(&self) -> Option<u64> {
+        self.target.as_ref().map(|target| target.announced_us + TARGET_SILENCE_MAX_US)
     }
 
-    /// Takes a target that has been silent for too long as gone.
-    pub(super) fn check_target(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
-        if self.target_silent_us().is_none_or(|at_us| at_us > now_us) {
+    /// Removes the target if it has been silent for too long.
+    pub(super) fn expire_target(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
+        if self.target_expiry_us().is_none_or(|at_us| at_us > now_us) {
             return;
         }
         if let Some(gone) = self.target.take() {
-            let silent_ms = now_us.saturating_sub(gone.heard_us) / US_PER_MS;
+            let silent_ms = now_us.saturating_sub(gone.announced_us) / US_PER_MS;
             let url = gone.announcement.url;
             self.log(LogEvent::TargetGone { url, silent_ms }, out);
         }
@@ -392,25 +390,30 @@
         self.announce_target(now_us, 0, 0, out);
     }
 
-    /// Begins to leave: nothing new is taken in, and what is in flight is finished.
-    pub(super) fn leave(&mut self, now_us: u64, asked_by: Asker, out: &mut Vec<NodeAction>) {
-        if self.leave_after_us.is_some() {
+    /// Starts to leave: no new calls are accepted, and calls in flight are finished.
+    pub(super) fn start_leaving(
+        &mut self,
+        now_us: u64,
+        asked_by: Asker,
+        out: &mut Vec<NodeAction>,
+    ) {
+        if self.stop_after_us.is_some() {
             return;
         }
         let in_flight = (self.hops.len() + self.inbound.len()) as u64;
         self.log(LogEvent::LeavingStarted { asked_by: asked_by.name(), in_flight }, out);
-        self.leave_after_us = Some(now_us + self.settings.node.leave_ms * US_PER_MS);
+        self.stop_after_us = Some(now_us + self.settings.node.leave_ms * US_PER_MS);
         self.announce_leaving(now_us, out);
     }
 
-    /// Asks to be stopped once nothing is in flight any more.
-    pub(super) fn check_left(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
-        let due = self.leave_after_us.is_some_and(|at_us| at_us <= now_us);
-        if !due || self.exited || !self.hops.is_empty() || !self.inbound.is_empty() {
+    /// Requests the exit once the leave time is over and nothing is in flight.
+    pub(super) fn exit_when_drained(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
+        let due = self.stop_after_us.is_some_and(|at_us| at_us <= now_us);
+        if !due || self.exit_requested || !self.hops.is_empty() || !self.inbound.is_empty() {
             return;
         }
-        self.exited = true;
-        let began_us = self.leave_after_us.unwrap_or(now_us);
+        self.exit_requested = true;
+        let began_us = self.stop_after_us.unwrap_or(now_us);
         let leave_ms = self.settings.node.leave_ms;
         let took_ms = now_us.saturating_sub(began_us) / US_PER_MS + leave_ms;
         self.log(LogEvent::LeavingFinished { took_ms, cut_off: 0 }, out);
@@ -418,7 +421,7 @@
     }
 }
 
-/// The verdict on what the target made of a request.
+/// The verdict for an outcome at the target.
 fn verdict_of(outcome: TargetOutcome) -> Verdict {
     match outcome {
         TargetOutcome::Answered(answer) => Verdict::Answered(answer),
--- a/src/node/retrying.rs
+++ b/src/node/retrying.rs
@@ -1,4 +1,4 @@
-//! What follows a failed attempt: another one with the entry node's leave, or the end of the hop.
+//! What follows a failed attempt: a retry granted by the entry node, or the end of the hop.
 
 use crate::call::{ArmId, AttemptId, Message, RootId, Verdict};
 use crate::retry::{Failure, RetryStep, next_step};
@@ -10,7 +10,7 @@
 use super::note::{self, Note};
 
 impl Node {
-    /// Decides what follows an attempt: another one, or the end of the hop.
+    /// Decides what follows an attempt: a retry or the end of the hop.
     pub(super) fn after_attempt(
         &mut self,
         now_us: u64,
@@ -28,7 +28,7 @@
                 outcome: note::outcome_of(&verdict),
             }));
         }
-        self.note_success(now_us, &verdict, arm);
+        self.credit_retry_budget(now_us, &verdict, arm);
         let Some(hop) = self.hops.get(&id) else { return };
         let expected_us = self.expected_latency_us(&hop.service);
         let floor = self.router.floor(now_us, &hop.service, arm, hop.class);
@@ -43,18 +43,18 @@
             .build();
         let step = next_step(&self.rules.policy_of(arm).retry, &failure, &mut self.rng);
         match step {
-            RetryStep::Never => self.conclude(now_us, id, verdict, out),
+            RetryStep::Never => self.finish_hop(now_us, id, verdict, out),
             RetryStep::After { backoff_us } => {
                 self.back_off(now_us, id, verdict, backoff_us, out);
             }
             RetryStep::AfterGrant { backoff_us } => {
-                self.ask_retry(now_us, id, failed, verdict, backoff_us, out);
+                self.request_retry(now_us, id, failed, verdict, backoff_us, out);
             }
         }
     }
 
-    /// Counts a good answer towards the retry budget of its arm.
-    pub(super) fn note_success(&mut self, now_us: u64, verdict: &Verdict, arm: ArmId) {
+    /// Credits the retry budget of an arm for a healthy answer.
+    pub(super) fn credit_retry_budget(&mut self, now_us: u64, verdict: &Verdict, arm: ArmId) {
         let Verdict::Answered(answer) = verdict else { return };
         if answer.status >= 500 {
             return;
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Asks for leave to make one more attempt: this node's budget first, then the entry node.
-    pub(super) fn ask_retry(
+    /// Requests one more attempt, first from this node's retry budget, then from the entry node.
+    pub(super) fn request_retry(
         &mut self,
         now_us: u64,
         id: HopId,
@@ -80,33 +80,34 @@
         let service = hop.service.clone();
         let in_budget = self.budgets.get_mut(&hop.arm).is_some_and(|b| b.try_take(now_us));
         if !in_budget {
-            self.note_retry(id, RetryOutcome::Budget, out);
+            self.record_retry_decision(id, RetryOutcome::Budget, out);
         }
         let Some(entry) = entry.filter(|_| in_budget) else {
-            self.conclude(now_us, id, last, out);
+            self.finish_hop(now_us, id, last, out);
             return;
         };
         if entry == self.identity.id {
             let granted = self.allowances.take(now_us, root);
-            self.follow_grant(now_us, id, last, backoff_us, granted, out);
+            self.apply_retry_decision(now_us, id, last, backoff_us, granted, out);
             return;
         }
         let failed =
             failed.unwrap_or(AttemptId { origin: self.identity.id, sequence: id.0, nonce: 0 });
-        // Whoever waits for the answer waits at the entry, so a grant is of use for as long as a retry is.
+        // The caller waits at the entry node, so a grant stays useful as long as a retry can finish.
         let until_us = deadline_us.saturating_sub(self.expected_latency_us(&service)).max(now_us);
-        let state = HopState::AskingRetry { failed, last: last.clone(), backoff_us, until_us };
-        self.enter(id, state);
+        let state =
+            HopState::AwaitingRetryGrant { failed, last: last.clone(), backoff_us, until_us };
+        self.set_state(id, state);
         self.outstanding.insert(failed, id);
         let message = Message::AskRetry { root, failed };
         match entry_address.or_else(|| self.router.address(entry)) {
             Some(to) => out.push(NodeAction::Send { to, message }),
-            None => self.give_up_asking(now_us, id, out),
+            None => self.abandon_retry_request(now_us, id, out),
         }
     }
 
-    /// Takes in the entry node's word on a retry.
-    pub(super) fn take_grant(
+    /// Handles the entry node's decision on a retry.
+    pub(super) fn on_retry_grant(
         &mut self,
         now_us: u64,
         failed: AttemptId,
@@ -115,21 +116,28 @@
     ) {
         let Some(id) = self.outstanding.remove(&failed) else { return };
         let Some(hop) = self.hops.get(&id) else { return };
-        let HopState::AskingRetry { last, backoff_us, .. } = hop.state.clone() else { return };
-        self.follow_grant(now_us, id, last, backoff_us, granted, out);
+        let HopState::AwaitingRetryGrant { last, backoff_us, .. } = hop.state.clone() else {
+            return;
+        };
+        self.apply_retry_decision(now_us, id, last, backoff_us, granted, out);
     }
 
-    /// Ends a hop whose entry node gives no word on a retry.
-    pub(super) fn give_up_asking(&mut self, now_us: u64, id: HopId, out: &mut Vec<NodeAction>) {
+    /// Ends a hop whose entry node does not decide on its retry.
+    pub(super) fn abandon_retry_request(
+        &mut self,
+        now_us: u64,
+        id: HopId,
+        out: &mut Vec<NodeAction>,
+    ) {
         let Some(hop) = self.hops.get(&id) else { return };
-        let HopState::AskingRetry { failed, last, .. } = hop.state.clone() else { return };
+        let HopState::AwaitingRetryGrant { failed, last, .. } = hop.state.clone() else { return };
         self.outstanding.remove(&failed);
-        self.note_retry(id, RetryOutcome::EntryAway, out);
-        self.conclude(now_us, id, last, out);
+        self.record_retry_decision(id, RetryOutcome::EntryAway, out);
+        self.finish_hop(now_us, id, last, out);
     }
 
-    /// Does what the entry node's word on a retry allows.
-    pub(super) fn follow_grant(
+    /// Retries or ends a hop according to the entry node's decision.
+    pub(super) fn apply_retry_decision(
         &mut self,
         now_us: u64,
         id: HopId,
@@ -139,23 +147,28 @@
         out: &mut Vec<NodeAction>,
     ) {
         if granted {
-            self.note_retry(id, RetryOutcome::Granted, out);
+            self.record_retry_decision(id, RetryOutcome::Granted, out);
             self.back_off(now_us, id, last, backoff_us, out);
         } else {
-            self.note_retry(id, RetryOutcome::Allowance, out);
-            self.conclude(now_us, id, last, out);
+            self.record_retry_decision(id, RetryOutcome::Allowance, out);
+            self.finish_hop(now_us, id, last, out);
         }
     }
 
-    /// Counts the wish for one more attempt.
-    pub(super) fn note_retry(&self, id: HopId, outcome: RetryOutcome, out: &mut Vec<NodeAction>) {
+    /// Records the decision on a retry in the metrics.
+    pub(super) fn record_retry_decision(
+        &self,
+        id: HopId,
+        outcome: RetryOutcome,
+        out: &mut Vec<NodeAction>,
+    ) {
         let Some(hop) = self.hops.get(&id) else { return };
         let (service, arm) = (hop.service.clone(), hop.arm);
         out.push(NodeAction::Note(Note::RetryDecided { service, arm, outcome }));
     }
 
-    /// Answers a node that asks for leave to retry on behalf of a root that entered here.
-    pub(super) fn grant_retry(
+    /// Decides on another node's retry for a root that entered at this node.
+    pub(super) fn decide_retry(
         &mut self,
         now_us: u64,
         path: ReplyPath,
@@ -169,7 +182,7 @@
         }
     }
 
-    /// Waits for the moment of the next attempt.
+    /// Starts the backoff before a retry; retries at once if it is 0.
     pub(super) fn back_off(
         &mut self,
         now_us: u64,
@@ -185,13 +198,13 @@
             self.retry(now_us, id, out);
             return;
         }
-        self.enter(id, HopState::BackingOff { last, until_us: now_us + backoff_us });
+        self.set_state(id, HopState::BackingOff { last, until_us: now_us + backoff_us });
     }
 
-    /// Makes a retry that was granted.
+    /// Starts a granted retry.
     pub(super) fn retry(&mut self, now_us: u64, id: HopId, out: &mut Vec<NodeAction>) {
         let Some(hop) = self.hops.get_mut(&id) else { return };
         hop.retries = hop.retries.saturating_add(1);
-        self.attempt(now_us, id, out);
+        self.start_attempt(now_us, id, out);
     }
 }
--- a/src/node/settling.rs
+++ b/src/node/settling.rs
@@ -1,4 +1,4 @@
-//! How verdicts are recorded and reach whoever waits for them.
+//! Recording of verdicts and their delivery to waiting senders.
 
 use crate::call::{
     AnswerFrame, ArmId, AttemptId, CallFrame, ClassRank, LoadReport, Message, NodeId, Verdict,
@@ -11,24 +11,24 @@
 use super::inbound::Stage;
 use super::note::{self, Note};
 
-/// How long a verdict is kept after its attempt's deadline. Whoever lost a connection asks within
-/// 1.5 s; later a watermark answers for the attempt.
-const BOOK_MARGIN_US: u64 = 3 * US_PER_S;
+/// How long a verdict is kept after its attempt's deadline. A sender that lost its connection sends
+/// a fence within 1.5 s; after the verdict is dropped, a watermark answers for the attempt.
+const VERDICT_RETENTION_US: u64 = 3 * US_PER_S;
 
-/// The ledger of a new node.
+/// Creates the ledger of a new node.
 pub(super) fn new_ledger(owner: NodeId) -> Ledger {
     Ledger::new(owner, LedgerOptions::builder().build())
 }
 
-/// The book of a new node.
-pub(super) fn new_book() -> AttemptBook {
-    AttemptBook::new(AttemptBookOptions::builder().margin_us(BOOK_MARGIN_US).build())
+/// Creates the attempt book of a new node.
+pub(super) fn new_attempt_book() -> AttemptBook {
+    AttemptBook::new(AttemptBookOptions::builder().margin_us(VERDICT_RETENTION_US).build())
 }
 
 impl Node {
-    /// Records the verdict of an attempt and tells everybody who waits for it.
+    /// Records the verdict of an attempt and sends it to all that wait for it.
     ///
-    /// An attempt that the target still has stays registered until the target has finished.
+    /// An attempt that is still at the target stays registered until the target has finished.
     pub(super) fn settle(
         &mut self,
         now_us: u64,
@@ -39,16 +39,16 @@
         let Some(inbound) = self.inbound.get(&attempt).filter(|inbound| !inbound.settled) else {
             return;
         };
-        self.trace_inbound(now_us, inbound, &verdict, out);
+        self.emit_inbound_span(now_us, inbound, &verdict, out);
         let Some(inbound) = self.inbound.get_mut(&attempt) else { return };
         inbound.settled = true;
-        self.book.settle(now_us, attempt, &verdict);
+        self.attempt_book.settle(now_us, attempt, &verdict);
         out.push(NodeAction::Note(Note::ReceivedEnded {
             class: inbound.frame.class,
             arm: inbound.frame.arm,
             outcome: note::outcome_of(&verdict),
         }));
-        let paths = std::mem::take(&mut inbound.paths);
+        let reply_paths = std::mem::take(&mut inbound.reply_paths);
         let children = std::mem::take(&mut inbound.children);
         let (arm, class) = (inbound.frame.arm, inbound.frame.class);
         self.tokens.remove(&inbound.token);
@@ -57,7 +57,7 @@
             self.inbound.remove(&attempt);
         }
         let load = self.load(now_us, arm, class);
-        for path in paths {
+        for path in reply_paths {
             self.answer_with(path, attempt, verdict.clone(), load, out);
         }
         for child in children {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Tells the ledger what became of the key of an attempt, and whoever waited for the key.
+    /// Records the verdict for an attempt's key in the ledger and settles the attempts that joined it.
     pub(super) fn finish_key(
         &mut self,
         now_us: u64,
@@ -99,7 +99,7 @@
         self.answer_with(path, frame.attempt, verdict, load, out);
     }
 
-    /// Sends a verdict to one who waits for it.
+    /// Sends a verdict with the given load report.
     pub(super) fn answer_with(
         &mut self,
         path: ReplyPath,
@@ -117,9 +117,9 @@
         }
     }
 
-    /// What this node tells about itself for one arm and class.
+    /// This node's load report for one arm and class.
     fn load(&self, now_us: u64, arm: ArmId, class: ClassRank) -> LoadReport {
         let load = self.admission.load(now_us, arm, class);
-        LoadReport { leaving: self.leave_after_us.is_some(), ..load }
+        LoadReport { leaving: self.stop_after_us.is_some(), ..load }
     }
 }
--- a/src/node/span.rs
+++ b/src/node/span.rs
@@ -1,4 +1,4 @@
-//! A span for each hop: one where a call is sent on, one where it is received.
+//! Trace spans: a client span for each hop and a server span for each received attempt.
 
 use crate::clock::US_PER_MS;
 use crate::telemetry::trace::{AttributeValue, SpanKind, SpanRecord};
@@ -10,8 +10,8 @@
 use super::{Node, Verdict};
 
 impl Node {
-    /// Tells of a hop that has ended, where its trace is recorded.
-    pub(super) fn trace_hop(
+    /// Emits the span of a hop that has ended, if its trace is sampled.
+    pub(super) fn emit_hop_span(
         &self,
         now_us: u64,
         hop: &Hop,
@@ -40,8 +40,8 @@
         out.push(NodeAction::Note(Note::Span(Box::new(span))));
     }
 
-    /// Tells of a received attempt that has its verdict, where its trace is recorded.
-    pub(super) fn trace_inbound(
+    /// Emits the span of a received attempt that has its verdict, if its trace is sampled.
+    pub(super) fn emit_inbound_span(
         &self,
         now_us: u64,
         inbound: &Inbound,
@@ -52,7 +52,7 @@
         if !frame.trace.sampled {
             return;
         }
-        let waited_us = match inbound.stage {
+        let queued_us = match inbound.stage {
             super::Stage::Running { since_us } | super::Stage::Aborting { since_us } => {
                 since_us.saturating_sub(inbound.arrived_us)
             }
@@ -70,7 +70,7 @@
             .attributes(vec![
                 ("aspenspring.verdict", note::outcome_of(verdict).verdict.into()),
                 ("aspenspring.reason", note::outcome_of(verdict).reason.into()),
-                ("aspenspring.queued_us", AttributeValue::Number(waited_us as i64)),
+                ("aspenspring.queued_us", AttributeValue::Number(queued_us as i64)),
                 ("aspenspring.retry", AttributeValue::Number(i64::from(frame.retry))),
             ])
             .build();
@@ -83,7 +83,7 @@
     }
 }
 
-/// Whether a verdict counts as a failure of the hop.
+/// Whether a verdict marks the span as failed.
 fn is_failure(verdict: &Verdict) -> bool {
     match verdict {
         Verdict::Answered(answer) => answer.status >= 500,
--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -1,4 +1,4 @@
-//! A picture of the node's state, for operators.
+//! The node's state as shown to operators.
 
 use serde::Serialize;
 
@@ -9,38 +9,38 @@
 
 use super::Node;
 
-/// The state of one node.
+/// A snapshot of one node's state.
 #[derive(Clone, Debug, Serialize)]
 pub struct NodeStatus {
     /// The node's name.
     pub name: String,
-    /// This life of the node.
+    /// The id of the node's process.
     pub node: String,
-    /// The service of its target.
+    /// The service its target belongs to.
     pub service: String,
     /// Its failure domain.
     pub failure_domain: String,
-    /// Whether it serves calls.
+    /// Whether it serves calls: it has its configuration and a target.
     pub ready: bool,
-    /// Whether it takes no new work.
+    /// Whether it is leaving and accepts no new calls.
     pub leaving: bool,
-    /// The target's base URL, while it is there.
+    /// The target's base URL, while it is announced.
     pub target_url: Option<String>,
-    /// The version of the configuration in force; 0 for the settings of the start.
+    /// The version of the configuration in force; 0 for the settings the node was started with.
     pub config_version: u64,
-    /// How many other nodes it knows.
+    /// How many other members it knows.
     pub members: usize,
-    /// Requests it is sending on.
+    /// Requests it is forwarding.
     pub hops: usize,
-    /// Attempts it has received and not finished.
+    /// Attempts it has received and not yet finished.
     pub inbound: usize,
-    /// Idempotency keys it remembers.
+    /// Idempotency keys in its ledger.
     pub keys: usize,
-    /// Roots whose retry allowance it holds.
+    /// Roots with an open retry allowance.
     pub allowances: usize,
     /// Limits and floors, by arm.
     pub arms: Vec<ArmStatus>,
-    /// The targets it sends calls to.
+    /// The nodes it can send calls to.
     pub peers: Vec<PeerView>,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl Node {
-    /// Calls that run, wait or are being sent on.
+    /// Calls that are running, queued or being forwarded.
     pub fn in_flight(&self) -> u64 {
         (self.hops.len() + self.inbound.len()) as u64
     }
@@ -64,14 +64,14 @@
         &self.rules
     }
 
-    /// The version of the configuration in force; 0 for the settings of the start.
+    /// The version of the configuration in force; 0 for the settings the node was started with.
     pub fn config_version(&self) -> u64 {
-        self.roster.version()
+        self.cluster.version()
     }
 
-    /// The configuration in force, or none for the settings of the start.
+    /// The configuration in force; none for the settings the node was started with.
     pub fn accepted(&self) -> Option<&Accepted> {
-        self.roster.accepted()
+        self.cluster.accepted()
     }
 
     /// The load of every arm, with the floor of the lowest class.
@@ -85,7 +85,7 @@
         loads
     }
 
-    /// A picture of the node's state.
+    /// Returns a snapshot of the node's state.
     pub fn status(&self, now_us: u64) -> NodeStatus {
         let own = &self.settings.node;
         NodeStatus {
@@ -93,11 +93,11 @@
             node: self.identity.id.to_string(),
             service: own.service.clone(),
             failure_domain: own.failure_domain.clone(),
-            ready: self.roster.is_ready() && self.target.is_some(),
-            leaving: self.leave_after_us.is_some(),
+            ready: self.cluster.is_ready() && self.target.is_some(),
+            leaving: self.stop_after_us.is_some(),
             target_url: self.target.as_ref().map(|known| known.announcement.url.clone()),
-            config_version: self.roster.version(),
-            members: self.roster.member_count(),
+            config_version: self.cluster.version(),
+            members: self.cluster.member_count(),
             hops: self.hops.len(),
             inbound: self.inbound.len(),
             keys: self.ledger.len(),
--- a/src/node/timer.rs
+++ b/src/node/timer.rs
@@ -1,4 +1,4 @@
-//! The node's own timers.
+//! Timers of hops and of received attempts.
 
 use std::collections::BTreeSet;
 
@@ -6,46 +6,47 @@
 
 use super::hop::HopId;
 
-/// What is due at a moment.
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
+pub enum TimerKind {
     /// The deadline of a hop.
     HopDeadline(HopId),
-    /// Whatever a hop's present state waits for; stale ones are told by the state's own moment.
-    HopStep(HopId),
+    /// The time-out of a hop's current state. A timer of an earlier state is stale; the hop checks
+    /// the time-out stored in its state.
+    HopTimeout(HopId),
     /// The deadline of an attempt that this node received.
     InboundDeadline(AttemptId),
 }
 
-/// Moments in order.
+/// Pending timers, ordered by time.
 #[derive(Debug, Default)]
 pub struct Timers {
-    /// What is due, earliest first.
-    queue: BTreeSet<(u64, Due)>,
+    /// Pending timers with their times in microseconds, earliest first.
+    queue: BTreeSet<(u64, TimerKind)>,
 }
 
 impl Timers {
-    /// Makes `due` come up at `at_us`.
-    pub fn set(&mut self, at_us: u64, due: Due) {
-        self.queue.insert((at_us, due));
+    /// Sets a timer for `at_us`.
+    pub fn set(&mut self, at_us: u64, kind: TimerKind) {
+        self.queue.insert((at_us, kind));
     }
 
-    /// Takes back what was set with the same arguments.
-    pub fn clear(&mut self, at_us: u64, due: Due) {
-        self.queue.remove(&(at_us, due));
+    /// Clears a timer that was set with the same arguments.
+    pub fn clear(&mut self, at_us: u64, kind: TimerKind) {
+        self.queue.remove(&(at_us, kind));
     }
 
-    /// The next due item that is not later than `now_us`.
-    pub fn pop(&mut self, now_us: u64) -> Option<Due> {
-        let (at_us, due) = *self.queue.first()?;
+    /// Removes and returns the earliest timer that is not later than `now_us`.
+    pub fn pop(&mut self, now_us: u64) -> Option<TimerKind> {
+        let (at_us, kind) = *self.queue.first()?;
         if at_us > now_us {
             return None;
         }
-        self.queue.remove(&(at_us, due));
-        Some(due)
+        self.queue.remove(&(at_us, kind));
+        Some(kind)
     }
 
-    /// When something is due next, in microseconds since the process started.
+    /// When the earliest timer is kind, in microseconds since the process started.
     pub fn next_us(&self) -> Option<u64> {
         self.queue.first().map(|(at_us, _)| *at_us)
     }
