--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -1,6 +1,6 @@
-//! Whole nodes with everything around them made up: a network that loses, doubles, delays and is
-//! cut, targets that call each other, and the platform's table. The rules that must always hold are
-//! checked at every step; what breaks one is returned as an error.
+//! A simulated site of real [`Node`]s: a network that loses, duplicates, delays and partitions,
+//! targets that call each other, and the platform's table. Invariants are checked at every step; a
+//! violation is returned as an error.
 
 mod platform;
 mod target;
@@ -25,88 +25,88 @@
 
 /// Microseconds in a millisecond.
 pub const MS: u64 = 1_000;
-/// The retry allowance of every root in the made-up site.
+/// The retry allowance of every root in the simulated site.
 const ALLOWANCE: u32 = 3;
 /// How often a target announces itself, in microseconds.
 const ANNOUNCE_EVERY_US: u64 = 2_000 * MS;
-/// The wall clock at moment zero.
+/// The wall clock at time zero, in milliseconds since the Unix epoch.
 const ORIGIN_UNIX_MS: u64 = 1_800_000_000_000;
-/// Tickets of targets' own calls begin here.
+/// The first ticket of calls made by targets; smaller ones are outside callers'.
 const CHILD_TICKETS: u64 = 1 << 40;
 
-/// Something that arrives at a node.
+/// An event scheduled for one process of a host.
 #[derive(Debug)]
-struct Delivery {
-    seat: usize,
-    life: u32,
+struct ScheduledEvent {
+    host: usize,
+    incarnation: u32,
     event: NodeEvent,
 }
 
-/// A place for a node: its address stays, its lives change.
-struct Seat {
+/// A host with a fixed address, on which a node process can be killed and restarted.
+struct Host {
     node: Option<Node>,
-    life: u32,
+    incarnation: u32,
     address: SocketAddr,
     service: &'static str,
-    frozen_until_us: u64,
-    woken_at_us: u64,
+    paused_until_us: u64,
+    next_tick_us: u64,
     version: u64,
-    left: bool,
+    is_leaving: bool,
 }
 
-/// A call of an outside caller.
+/// A call by an outside caller.
 pub struct Call {
-    pub seat: usize,
-    /// The life of the node that took the call.
-    life: u32,
+    pub host: usize,
+    /// The incarnation of the node that received the call.
+    incarnation: u32,
     pub service: &'static str,
     pub path: String,
-    /// Whether other calls have the same key, so that runs of the path may be theirs.
-    shared: bool,
-    pub due_us: u64,
+    /// Whether other calls use the same key, so that runs of the path may belong to them.
+    has_shared_key: bool,
+    pub deadline_us: u64,
     pub end: Option<CallEnd>,
 }
 
-/// How unkind the network is.
+/// The faults of the network.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Network {
     pub loss: f64,
-    pub double: f64,
+    pub duplicate: f64,
     pub delay_max_us: u64,
 }
 
-/// Several nodes and their surroundings.
+/// Several nodes and their simulated environment.
 pub struct Site {
     pub now_us: u64,
     pub network: Network,
     pub table: Table,
     pub calls: Vec<Call>,
     rng: SmallRng,
-    queue: BTreeMap<(u64, u64), Delivery>,
+    queue: BTreeMap<(u64, u64), ScheduledEvent>,
     sequence: u64,
-    seats: Vec<Seat>,
-    /// Until when messages between two seats vanish.
-    cuts: HashMap<(usize, usize), u64>,
+    hosts: Vec<Host>,
+    /// Until when messages from one host to another are lost.
+    partitions: HashMap<(usize, usize), u64>,
     targets: Targets,
-    /// Extra attempts seen on the wire, by root.
-    extra: HashMap<RootId, u32>,
+    /// Retries sent over the network, by root.
+    retries: HashMap<RootId, u32>,
 }
 
-/// A rule that was broken.
-pub type Checked = Result<(), String>;
+/// An error is the description of a violated invariant.
+pub type InvariantResult = Result<(), String>;
 
 impl Site {
-    /// A site of three services in a row, two nodes each, all up.
+    /// A site of three services that call each other in a chain, two nodes each, all up.
     pub fn start(seed: u64, network: Network) -> Self {
         Self::with(seed, network, &["front", "front", "mid", "mid", "deep", "deep"])
     }
 
-    /// A site of one node, whose target calls nobody.
-    pub fn alone(seed: u64, network: Network) -> Self {
+    /// A site of one node, whose target makes no calls.
+    pub fn single_node(seed: u64, network: Network) -> Self {
         Self::with(seed, network, &["deep"])
     }
 
-    /// A site with a node for each of these services.
+    /// A site with one node for each entry of `services`.
     fn with(seed: u64, network: Network, services: &[&'static str]) -> Self {
         let mut site = Self {
             now_us: 0,
@@ -116,116 +116,121 @@
             rng: SmallRng::seed_from_u64(seed),
             queue: BTreeMap::new(),
             sequence: 0,
-            seats: Vec::new(),
-            cuts: HashMap::new(),
+            hosts: Vec::new(),
+            partitions: HashMap::new(),
             targets: Targets::default(),
-            extra: HashMap::new(),
+            retries: HashMap::new(),
         };
         for (index, service) in services.iter().enumerate() {
-            site.seats.push(Seat {
+            site.hosts.push(Host {
                 node: None,
-                life: 0,
+                incarnation: 0,
                 address: SocketAddr::from(([127, 0, 0, 1], 4_000 + index as u16)),
                 service,
-                frozen_until_us: 0,
-                woken_at_us: u64::MAX,
+                paused_until_us: 0,
+                next_tick_us: u64::MAX,
                 version: 0,
-                left: false,
+                is_leaving: false,
             });
             site.restart(index);
         }
         site
     }
 
-    /// Starts a new life in a seat, as after a kill or on a replaced VM.
+    /// Starts a new node process on a host, as after a kill or on a replaced VM.
     pub fn restart(&mut self, index: usize) {
         let identity = NodeIdentity::builder()
             .id(NodeId(self.rng.random()))
-            .peer_address(self.seats[index].address)
+            .peer_address(self.hosts[index].address)
             .seed(self.rng.random())
             .origin_unix_ms(ORIGIN_UNIX_MS)
             .build();
-        let settings = Arc::new(settings(index, self.seats[index].service));
+        let settings = Arc::new(settings(index, self.hosts[index].service));
         let node = Node::new(self.now_us, identity, settings, site_rules("site"));
-        let seat = &mut self.seats[index];
-        seat.node = Some(node);
-        seat.life += 1;
-        seat.version = 0;
-        seat.left = false;
-        seat.woken_at_us = u64::MAX;
-        self.targets.drop_seat(index);
-        let announcement = target::announcement(index, self.seats[index].service);
-        self.deliver(index, self.now_us, NodeEvent::TargetAnnounced(announcement));
-        self.tell_links(index, |peer| NodeEvent::LinkUp { peer }, 100 * MS);
+        let host = &mut self.hosts[index];
+        host.node = Some(node);
+        host.incarnation += 1;
+        host.version = 0;
+        host.is_leaving = false;
+        host.next_tick_us = u64::MAX;
+        self.targets.drop_host(index);
+        let announcement = target::announcement(index, self.hosts[index].service);
+        self.schedule(index, self.now_us, NodeEvent::TargetAnnounced(announcement));
+        self.schedule_link_events(index, |peer| NodeEvent::LinkUp { peer }, 100 * MS);
     }
 
-    /// Ends a life at once.
+    /// Kills the node process of a host.
     pub fn kill(&mut self, index: usize) {
-        self.seats[index].node = None;
-        self.seats[index].life += 1;
-        self.targets.drop_seat(index);
-        self.tell_links(index, |peer| NodeEvent::LinkLost { peer }, 20 * MS);
+        self.hosts[index].node = None;
+        self.hosts[index].incarnation += 1;
+        self.targets.drop_host(index);
+        self.schedule_link_events(index, |peer| NodeEvent::LinkLost { peer }, 20 * MS);
     }
 
-    /// Tells every other seat something about its connection to this one.
-    fn tell_links(&mut self, index: usize, make: impl Fn(SocketAddr) -> NodeEvent, after_us: u64) {
-        let peer = self.seats[index].address;
-        for other in 0..self.seats.len() {
+    /// Schedules a connection event about this host at every other host.
+    fn schedule_link_events(
+        &mut self,
+        index: usize,
+        make: impl Fn(SocketAddr) -> NodeEvent,
+        after_us: u64,
+    ) {
+        let peer = self.hosts[index].address;
+        for other in 0..self.hosts.len() {
             if other != index {
-                self.deliver(other, self.now_us + after_us, make(peer));
+                self.schedule(other, self.now_us + after_us, make(peer));
             }
         }
     }
 
-    /// Stops a life for a while; it does not notice.
-    pub fn freeze(&mut self, index: usize, for_us: u64) {
-        self.seats[index].frozen_until_us = self.now_us + for_us;
+    /// Pauses a node process for a while; it is not notified.
+    pub fn pause(&mut self, index: usize, for_us: u64) {
+        self.hosts[index].paused_until_us = self.now_us + for_us;
     }
 
-    /// Makes the connection between two seats silent for a while; new ones work afterwards.
-    pub fn cut(&mut self, one: usize, other: usize, for_us: u64) {
+    /// Partitions two hosts for a while; new connections work afterwards.
+    pub fn partition(&mut self, one: usize, other: usize, for_us: u64) {
         let until_us = self.now_us + for_us;
         for (from, to) in [(one, other), (other, one)] {
-            self.cuts.insert((from, to), until_us);
-            let peer = self.seats[to].address;
-            self.deliver(from, self.now_us + for_us / 2, NodeEvent::LinkLost { peer });
-            self.deliver(from, until_us + MS, NodeEvent::LinkUp { peer });
+            self.partitions.insert((from, to), until_us);
+            let peer = self.hosts[to].address;
+            self.schedule(from, self.now_us + for_us / 2, NodeEvent::LinkLost { peer });
+            self.schedule(from, until_us + MS, NodeEvent::LinkUp { peer });
         }
     }
 
     /// Asks a node to leave.
     pub fn leave(&mut self, index: usize) {
-        self.deliver(index, self.now_us, NodeEvent::Leave { asked_by: Asker::Signal });
-        self.seats[index].left = true;
+        self.schedule(index, self.now_us, NodeEvent::Leave { asked_by: Asker::Signal });
+        self.hosts[index].is_leaving = true;
     }
 
     /// Submits a configuration at a node.
     pub fn submit(&mut self, index: usize, based_on: u64) {
         let document = serde_json::json!({ "base": rules() }).to_string();
         let submission = self.rng.random();
-        let by = format!("seat {index}");
+        let by = format!("host {index}");
         let at_unix_ms = ORIGIN_UNIX_MS + self.now_us / MS;
         let submit =
             aspenspring::configuration::Submit { submission, based_on, by, at_unix_ms, document };
-        self.deliver(index, self.now_us, NodeEvent::Submit(submit));
+        self.schedule(index, self.now_us, NodeEvent::Submit(submit));
     }
 
-    /// Makes a call of an outside caller at a node.
-    pub fn call(&mut self, seat: usize, confirm: bool) {
+    /// Makes a call by an outside caller at a node.
+    pub fn call(&mut self, host: usize, confirm: bool) {
         let kind = if confirm { "confirm" } else { "page" };
         let path = format!("/{kind}/{}", self.calls.len());
-        self.call_path(seat, confirm, path, None);
+        self.call_path(host, confirm, path, None);
     }
 
-    /// Makes a confirmation with a key of the caller's own; the path is the same for one key.
-    pub fn confirm_with_key(&mut self, seat: usize, key: &str) {
-        self.call_path(seat, true, format!("/confirm/{key}"), Some(key.to_owned()));
+    /// Makes a confirmation with a key of the caller's own format; the path depends only on the key.
+    pub fn confirm_with_key(&mut self, host: usize, key: &str) {
+        self.call_path(host, true, format!("/confirm/{key}"), Some(key.to_owned()));
     }
 
-    /// Makes a call for a path.
-    fn call_path(&mut self, seat: usize, confirm: bool, path: String, key: Option<String>) {
+    /// Makes a call with a given path.
+    fn call_path(&mut self, host: usize, confirm: bool, path: String, key: Option<String>) {
         let id = self.calls.len();
-        let shared = key.is_some();
+        let has_shared_key = key.is_some();
         let method = if confirm { "POST" } else { "GET" };
         let request = HttpRequest {
             method: method.to_owned(),
@@ -235,134 +240,142 @@
         };
         let intake = Intake {
             ticket: Ticket(id as u64),
-            service: self.seats[seat].service.to_owned(),
+            service: self.hosts[host].service.to_owned(),
             request,
             deadline_ms: None,
             key,
             trace: None,
         };
-        let due_us = self.now_us + 1_000 * MS;
-        let is_up = self.seats[seat].node.is_some();
-        let life = if is_up { self.seats[seat].life } else { u32::MAX };
-        let service = self.seats[seat].service;
-        self.calls.push(Call { seat, life, service, path, shared, due_us, end: None });
-        self.deliver(seat, self.now_us, NodeEvent::CallerCall(intake));
+        let deadline_us = self.now_us + 1_000 * MS;
+        let is_up = self.hosts[host].node.is_some();
+        let incarnation = if is_up { self.hosts[host].incarnation } else { u32::MAX };
+        let service = self.hosts[host].service;
+        self.calls.push(Call {
+            host,
+            incarnation,
+            service,
+            path,
+            has_shared_key,
+            deadline_us,
+            end: None,
+        });
+        self.schedule(host, self.now_us, NodeEvent::CallerCall(intake));
     }
 
-    /// The caller of the last call goes away.
-    pub fn caller_gone(&mut self) {
+    /// Disconnects the caller of the last call.
+    pub fn disconnect_last_caller(&mut self) {
         let ticket = Ticket(self.calls.len() as u64 - 1);
-        let seat = self.calls[ticket.0 as usize].seat;
-        self.deliver(seat, self.now_us, NodeEvent::CallerGone { ticket });
+        let host = self.calls[ticket.0 as usize].host;
+        self.schedule(host, self.now_us, NodeEvent::CallerGone { ticket });
     }
 
-    /// Calls that run, wait or are being sent on, over all nodes.
+    /// Calls that are running, queued or being forwarded, over all nodes.
     pub fn in_flight(&self) -> u64 {
-        self.seats.iter().filter_map(|seat| seat.node.as_ref()).map(Node::in_flight).sum()
+        self.hosts.iter().filter_map(|host| host.node.as_ref()).map(Node::in_flight).sum()
     }
 
-    /// Lets time pass until `until_us`.
-    pub fn run(&mut self, until_us: u64) -> Checked {
+    /// Processes all events up to `until_us`.
+    pub fn run(&mut self, until_us: u64) -> InvariantResult {
         while let Some((&(at_us, sequence), _)) = self.queue.first_key_value() {
             if at_us > until_us {
                 break;
             }
-            let Some(delivery) = self.queue.remove(&(at_us, sequence)) else { break };
+            let Some(scheduled) = self.queue.remove(&(at_us, sequence)) else { break };
             self.now_us = self.now_us.max(at_us);
-            self.arrive(delivery)?;
+            self.process(scheduled)?;
         }
         self.now_us = until_us;
         Ok(())
     }
 
-    /// Lets something arrive at a node, or wait while the node is frozen.
-    fn arrive(&mut self, delivery: Delivery) -> Checked {
-        let seat = &mut self.seats[delivery.seat];
-        if seat.life != delivery.life {
+    /// Passes an event to its node, or postpones it while the node is paused.
+    fn process(&mut self, scheduled: ScheduledEvent) -> InvariantResult {
+        let host = &mut self.hosts[scheduled.host];
+        if host.incarnation != scheduled.incarnation {
             return Ok(());
         }
-        if seat.frozen_until_us > self.now_us {
-            let at_us = seat.frozen_until_us;
+        if host.paused_until_us > self.now_us {
+            let at_us = host.paused_until_us;
             self.sequence += 1;
-            self.queue.insert((at_us, self.sequence), delivery);
+            self.queue.insert((at_us, self.sequence), scheduled);
             return Ok(());
         }
-        let Some(node) = &mut seat.node else { return Ok(()) };
-        if let NodeEvent::TargetAnnounced(announcement) = &delivery.event {
-            // A target repeats itself as long as its node lives.
+        let Some(node) = &mut host.node else { return Ok(()) };
+        if let NodeEvent::TargetAnnounced(announcement) = &scheduled.event {
+            // A target repeats its announcement as long as its node runs.
             let again = NodeEvent::TargetAnnounced(announcement.clone());
-            let event = Delivery { event: again, ..delivery };
+            let event = ScheduledEvent { event: again, ..scheduled };
             self.sequence += 1;
             self.queue.insert((self.now_us + ANNOUNCE_EVERY_US, self.sequence), event);
         }
         let mut actions = Vec::new();
-        node.handle(self.now_us, delivery.event, &mut actions);
+        node.handle(self.now_us, scheduled.event, &mut actions);
         let version = node.config_version();
-        if version < seat.version {
-            return Err(format!("configuration went back from {} to {version}", seat.version));
+        if version < host.version {
+            return Err(format!("config version went back from {} to {version}", host.version));
         }
-        seat.version = version;
+        host.version = version;
         let wake_us = node.next_wake_us();
-        self.plan_wake(delivery.seat, wake_us);
+        self.schedule_tick(scheduled.host, wake_us);
         for action in actions {
-            self.carry_out(delivery.seat, action)?;
+            self.apply_action(scheduled.host, action)?;
         }
         Ok(())
     }
 
-    /// Plans the node's next tick.
-    fn plan_wake(&mut self, index: usize, wake_us: Option<u64>) {
+    /// Schedules the node's next tick.
+    fn schedule_tick(&mut self, index: usize, wake_us: Option<u64>) {
         let Some(wake_us) = wake_us else { return };
         let wake_us = wake_us.max(self.now_us + 1);
-        let seat = &mut self.seats[index];
-        let planned = seat.woken_at_us > self.now_us && seat.woken_at_us <= wake_us;
-        if planned {
+        let host = &mut self.hosts[index];
+        let is_scheduled = host.next_tick_us > self.now_us && host.next_tick_us <= wake_us;
+        if is_scheduled {
             return;
         }
-        seat.woken_at_us = wake_us;
-        self.deliver(index, wake_us, NodeEvent::Tick);
+        host.next_tick_us = wake_us;
+        self.schedule(index, wake_us, NodeEvent::Tick);
     }
 
-    /// Plans that something arrives at the present life of a seat.
-    fn deliver(&mut self, seat: usize, at_us: u64, event: NodeEvent) {
+    /// Schedules an event for the current incarnation of a host.
+    fn schedule(&mut self, host: usize, at_us: u64, event: NodeEvent) {
         self.sequence += 1;
-        let life = self.seats[seat].life;
-        self.queue.insert((at_us, self.sequence), Delivery { seat, life, event });
+        let incarnation = self.hosts[host].incarnation;
+        self.queue.insert((at_us, self.sequence), ScheduledEvent { host, incarnation, event });
     }
 
-    /// Does what a node asks for.
-    fn carry_out(&mut self, index: usize, action: NodeAction) -> Checked {
+    /// Applies an action of a node.
+    fn apply_action(&mut self, index: usize, action: NodeAction) -> InvariantResult {
         match action {
-            NodeAction::Reply { ticket, end } => self.replied(index, ticket, end),
+            NodeAction::Reply { ticket, end } => self.on_reply(index, ticket, end),
             NodeAction::Send { to, message } => self.send(index, to, message),
             NodeAction::Return { path, message } => {
-                let (to, life) = path.parts();
-                let peer = self.seats[index].address;
+                let (to, incarnation) = path.parts();
+                let peer = self.hosts[index].address;
                 let event = |message| NodeEvent::PeerReply { peer, message };
-                if self.seats[to as usize].life == life {
-                    self.carry(index, to as usize, message, event);
+                if self.hosts[to as usize].incarnation == incarnation {
+                    self.transmit(index, to as usize, message, event);
                 }
                 Ok(())
             }
             NodeAction::RunTarget(call) => {
-                let seat = &self.seats[index];
-                let events = self.targets.run(index, seat.service, *call, &mut self.rng)?;
-                self.deliver_all(index, events);
+                let host = &self.hosts[index];
+                let events = self.targets.run(index, host.service, *call, &mut self.rng)?;
+                self.schedule_all(index, events);
                 Ok(())
             }
             NodeAction::AbortTarget { attempt } => {
                 let events = self.targets.abort(index, attempt);
-                self.deliver_all(index, events);
+                self.schedule_all(index, events);
                 Ok(())
             }
             NodeAction::Store(request) => {
-                if let Some(event) = self.table.take(request) {
-                    self.deliver(index, self.now_us + 5 * MS, NodeEvent::Store(event));
+                if let Some(event) = self.table.handle(request) {
+                    self.schedule(index, self.now_us + 5 * MS, NodeEvent::Store(event));
                 }
                 Ok(())
             }
             NodeAction::Exit => {
-                let node = self.seats[index].node.as_ref();
+                let node = self.hosts[index].node.as_ref();
                 if node.is_some_and(|node| node.in_flight() > 0) {
                     return Err("a node exited with calls in flight".to_owned());
                 }
@@ -375,18 +388,18 @@
         }
     }
 
-    /// Plans events of a target at its node.
-    fn deliver_all(&mut self, index: usize, events: Vec<(u64, NodeEvent)>) {
+    /// Schedules events of a target at its node.
+    fn schedule_all(&mut self, index: usize, events: Vec<(u64, NodeEvent)>) {
         for (after_us, event) in events {
-            self.deliver(index, self.now_us + after_us, event);
+            self.schedule(index, self.now_us + after_us, event);
         }
     }
 
-    /// Takes the end of a call, of an outside caller or of a target.
-    fn replied(&mut self, index: usize, ticket: Ticket, end: CallEnd) -> Checked {
+    /// Handles the result of a call by an outside caller or a target.
+    fn on_reply(&mut self, index: usize, ticket: Ticket, end: CallEnd) -> InvariantResult {
         if ticket.0 >= CHILD_TICKETS {
-            let events = self.targets.child_ended(index, ticket, &end, &mut self.rng);
-            self.deliver_all(index, events);
+            let events = self.targets.on_child_ended(index, ticket, &end, &mut self.rng);
+            self.schedule_all(index, events);
             return Ok(());
         }
         let call = &mut self.calls[ticket.0 as usize];
@@ -395,89 +408,94 @@
         }
         if let Verdict::Answered(answer) = &end.verdict {
             if answer.status == 200 && answer.body != call.path.as_bytes() {
-                return Err(format!("{} got an answer that is not its own", call.path));
+                return Err(format!("{} got the answer of another request", call.path));
             }
         }
         call.end = Some(end);
         self.check_not_run(ticket.0 as usize)
     }
 
-    /// Sends a message to an address.
-    fn send(&mut self, from: usize, to: SocketAddr, message: Message) -> Checked {
+    /// Sends a message to an address and checks the retry allowance of its root.
+    fn send(&mut self, from: usize, to: SocketAddr, message: Message) -> InvariantResult {
         if let Message::Call(frame) = &message {
             if frame.retry > 0 {
-                let extra = self.extra.entry(frame.root).or_default();
-                *extra += 1;
-                if *extra > ALLOWANCE {
-                    return Err(format!("{extra} extra attempts for one root"));
+                let retries = self.retries.entry(frame.root).or_default();
+                *retries += 1;
+                if *retries > ALLOWANCE {
+                    return Err(format!(
+                        "{retries} retries for one root exceed the allowance of {ALLOWANCE}"
+                    ));
                 }
             }
         }
-        let Some(to) = self.seats.iter().position(|seat| seat.address == to) else { return Ok(()) };
-        let path = ReturnPath::from_parts(from as u32, self.seats[from].life);
-        self.carry(from, to, message, |message| NodeEvent::PeerRequest { path, message });
+        let Some(to) = self.hosts.iter().position(|host| host.address == to) else { return Ok(()) };
+        let path = ReturnPath::from_parts(from as u32, self.hosts[from].incarnation);
+        self.transmit(from, to, message, |message| NodeEvent::PeerRequest { path, message });
         Ok(())
     }
 
-    /// Carries a message, or loses, doubles or delays it.
-    fn carry(
+    /// Delivers a message with a delay, loses it or duplicates it.
+    fn transmit(
         &mut self,
         from: usize,
         to: usize,
         message: Message,
         make: impl Fn(Message) -> NodeEvent,
     ) {
-        let cut_until_us = self.cuts.get(&(from, to)).copied().unwrap_or(0);
-        if cut_until_us > self.now_us || self.rng.random_bool(self.network.loss) {
+        let partitioned_until_us = self.partitions.get(&(from, to)).copied().unwrap_or(0);
+        if partitioned_until_us > self.now_us || self.rng.random_bool(self.network.loss) {
             return;
         }
-        let copies = 1 + u32::from(self.rng.random_bool(self.network.double));
+        let copies = 1 + u32::from(self.rng.random_bool(self.network.duplicate));
         for _ in 0..copies {
             let delay_us = self.rng.random_range(100..=100 + self.network.delay_max_us);
-            self.deliver(to, self.now_us + delay_us, make(message.clone()));
+            self.schedule(to, self.now_us + delay_us, make(message.clone()));
         }
     }
 
-    /// A call that was told "not run" never ran.
-    fn check_not_run(&self, id: usize) -> Checked {
+    /// Checks that a call answered "not run" never ran.
+    fn check_not_run(&self, id: usize) -> InvariantResult {
         let call = &self.calls[id];
         let Some(end) = &call.end else { return Ok(()) };
-        if call.shared {
+        if call.has_shared_key {
             return Ok(());
         }
         if end.verdict.is_not_run() && self.targets.runs(call.service, &call.path) > 0 {
-            return Err(format!("{} ran and was told {:?}", call.path, end.verdict));
+            return Err(format!("{} ran but was answered {:?}", call.path, end.verdict));
         }
         Ok(())
     }
 
-    /// Checks at the end: every call of a node that lives was answered in time, and truly.
-    pub fn check_end(&self) -> Checked {
+    /// Checks that every call at a node that stayed up was answered in time, and that "not run" was
+    /// true.
+    pub fn check_end(&self) -> InvariantResult {
         for id in 0..self.calls.len() {
             self.check_not_run(id)?;
             let call = &self.calls[id];
-            let seat = &self.seats[call.seat];
-            let certain = seat.life == call.life && seat.frozen_until_us < call.due_us;
-            if certain && call.end.is_none() && call.due_us + 1_000 * MS < self.now_us {
+            let host = &self.hosts[call.host];
+            let must_be_answered =
+                host.incarnation == call.incarnation && host.paused_until_us < call.deadline_us;
+            if must_be_answered && call.end.is_none() && call.deadline_us + 1_000 * MS < self.now_us
+            {
                 return Err(format!("{} was never answered", call.path));
             }
         }
         Ok(())
     }
 
-    /// The versions of the configuration at the nodes that are up.
+    /// The configuration versions of the nodes that are up and not leaving.
     pub fn versions(&self) -> Vec<u64> {
-        let up = self.seats.iter().filter(|seat| seat.node.is_some() && !seat.left);
-        up.map(|seat| seat.version).collect()
+        let up = self.hosts.iter().filter(|host| host.node.is_some() && !host.is_leaving);
+        up.map(|host| host.version).collect()
     }
 
-    /// How many calls were answered whole.
+    /// How many calls were answered with status 200.
     pub fn served(&self) -> usize {
-        let whole = |call: &&Call| {
+        let is_complete = |call: &&Call| {
             let verdict = call.end.as_ref().map(|end| &end.verdict);
             matches!(verdict, Some(Verdict::Answered(answer)) if answer.status == 200)
         };
-        self.calls.iter().filter(whole).count()
+        self.calls.iter().filter(is_complete).count()
     }
 }
 
@@ -510,7 +528,7 @@
     })
 }
 
-/// The settings of the node in a seat.
+/// The settings of the node on a host.
 fn settings(index: usize, service: &str) -> Settings {
     let value = serde_json::json!({
         "site": "site",
@@ -523,5 +541,5 @@
                       "poll_ms": 500 },
         "rules": rules()
     });
-    serde_json::from_value(value).expect("the settings of the made-up site are valid")
+    serde_json::from_value(value).expect("the settings of the simulated site are valid")
 }
--- a/tests/site/platform.rs
+++ b/tests/site/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's table, made up.
+//! A simulated table service of the platform.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +10,16 @@
 /// How the table behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TableMode {
-    /// It answers.
+    /// Requests are applied and answered.
     #[default]
     Up,
-    /// It refuses everything.
+    /// Requests fail without being applied.
     Down,
-    /// It does what it is asked for and loses the answer.
-    LosesAnswers,
+    /// Requests are applied, but their answers are lost.
+    LoseAnswers,
 }
 
-/// The rows.
+/// The table's rows and its current mode.
 #[derive(Default)]
 pub struct Table {
     pub mode: TableMode,
@@ -28,21 +28,21 @@
 }
 
 impl Table {
-    /// Does what is asked for.
-    pub fn take(&mut self, request: StoreRequest) -> Option<StoreEvent> {
+    /// Handles a request according to the mode.
+    pub fn handle(&mut self, request: StoreRequest) -> Option<StoreEvent> {
         let id = request.id;
         let outcome = match self.mode {
-            TableMode::Up => Ok(self.carry_out(request.operation)),
+            TableMode::Up => Ok(self.execute(request.operation)),
             TableMode::Down => Err(failed(Certainty::NotApplied)),
-            TableMode::LosesAnswers => {
-                self.carry_out(request.operation);
+            TableMode::LoseAnswers => {
+                self.execute(request.operation);
                 Err(failed(Certainty::MayHaveBeenApplied))
             }
         };
         Some(StoreEvent { id, outcome })
     }
 
-    fn carry_out(&mut self, operation: StoreOperation) -> StoreOutcome {
+    fn execute(&mut self, operation: StoreOperation) -> StoreOutcome {
         match operation {
             StoreOperation::ReadRows { prefix } => {
                 let rows = self.rows.values().filter(|row| row.key.starts_with(&prefix));
@@ -59,24 +59,26 @@
                 StoreOutcome::Deleted
             }
             StoreOperation::ClaimKey { key, claim } => {
-                let value = serde_json::to_value(claim).expect("a claim has a form in JSON");
+                let value = serde_json::to_value(claim).expect("a claim serializes to JSON");
                 self.put(key.clone(), value, Condition::Absent);
-                let stands = self.rows[&key].value.clone();
-                StoreOutcome::Claimed(serde_json::from_value(stands).expect("a claim was written"))
+                let present = self.rows[&key].value.clone();
+                StoreOutcome::Claimed(
+                    serde_json::from_value(present).expect("the row holds a claim"),
+                )
             }
         }
     }
 
     fn put(&mut self, key: String, value: Value, condition: Condition) -> StoreOutcome {
         let present = self.rows.get(&key).cloned();
-        let fits = match condition {
+        let is_met = match condition {
             Condition::Any => true,
             Condition::Absent => present.is_none(),
             Condition::Version(version) => {
                 present.as_ref().is_some_and(|row| row.version == version)
             }
         };
-        if !fits {
+        if !is_met {
             return StoreOutcome::Conflict { present };
         }
         self.version += 1;
@@ -87,5 +89,5 @@
 }
 
 fn failed(certainty: Certainty) -> StoreError {
-    StoreError { certainty, cause: "made up".to_owned() }
+    StoreError { certainty, cause: "simulated failure".to_owned() }
 }
--- a/tests/site/target.rs
+++ b/tests/site/target.rs
@@ -1,4 +1,4 @@
-//! Targets, made up: each calls the next service and answers with the path it was asked for.
+//! Simulated targets: each calls the next service and answers with the path of its request.
 
 use std::collections::HashMap;
 
@@ -11,13 +11,13 @@
 
 use super::{CHILD_TICKETS, MS};
 
-/// A request that a target runs.
+/// A request running at a target.
 struct Job {
-    seat: usize,
+    host: usize,
     call: TargetCall,
 }
 
-/// All targets.
+/// The targets of all hosts.
 #[derive(Default)]
 pub struct Targets {
     jobs: HashMap<AttemptId, Job>,
@@ -26,7 +26,7 @@
     tickets: u64,
 }
 
-/// What a target says about itself.
+/// The announcement of a target.
 pub fn announcement(index: usize, service: &str) -> Announcement {
     Announcement {
         url: format!("http://127.0.0.1:{}", 9_000 + index),
@@ -37,10 +37,11 @@
 }
 
 impl Targets {
-    /// Begins to run a request; a confirmation must not run twice.
+    /// Starts to run a request and returns the events that follow, with their delays. Fails if a
+    /// confirmation runs twice.
     pub fn run(
         &mut self,
-        seat: usize,
+        host: usize,
         service: &'static str,
         call: TargetCall,
         rng: &mut SmallRng,
@@ -52,21 +53,21 @@
             return Err(format!("{path} ran {runs} times at {service}"));
         }
         let attempt = call.attempt;
-        let below = match service {
+        let downstream = match service {
             "front" => Some("mid"),
             "mid" => Some("deep"),
             _ => None,
         };
-        let events = match below {
-            Some(below) => vec![(MS, self.child(attempt, &call, below))],
-            None => vec![(rng.random_range(MS..30 * MS), ended(attempt, 200, &path))],
+        let events = match downstream {
+            Some(downstream) => vec![(MS, self.child_call(attempt, &call, downstream))],
+            None => vec![(rng.random_range(MS..30 * MS), answered_event(attempt, 200, &path))],
         };
-        self.jobs.insert(attempt, Job { seat, call });
+        self.jobs.insert(attempt, Job { host, call });
         Ok(events)
     }
 
-    /// The call of a target to the next service.
-    fn child(&mut self, attempt: AttemptId, call: &TargetCall, service: &str) -> NodeEvent {
+    /// A target's call to the next service.
+    fn child_call(&mut self, attempt: AttemptId, call: &TargetCall, service: &str) -> NodeEvent {
         self.tickets += 1;
         let ticket = Ticket(CHILD_TICKETS + self.tickets);
         self.children.insert(ticket, attempt);
@@ -81,45 +82,45 @@
         NodeEvent::TargetCall { intake, token: Some(call.token.clone()) }
     }
 
-    /// A target's own call has ended.
-    pub fn child_ended(
+    /// Handles the result of a target's call.
+    pub fn on_child_ended(
         &mut self,
-        seat: usize,
+        host: usize,
         ticket: Ticket,
         end: &CallEnd,
         rng: &mut SmallRng,
     ) -> Vec<(u64, NodeEvent)> {
         let Some(attempt) = self.children.remove(&ticket) else { return Vec::new() };
-        let Some(job) = self.jobs.get(&attempt).filter(|job| job.seat == seat) else {
+        let Some(job) = self.jobs.get(&attempt).filter(|job| job.host == host) else {
             return Vec::new();
         };
-        let whole = matches!(&end.verdict, Verdict::Answered(answer) if answer.status == 200);
-        let status = if whole { 200 } else { 503 };
+        let is_complete = matches!(&end.verdict, Verdict::Answered(answer) if answer.status == 200);
+        let status = if is_complete { 200 } else { 503 };
         let path = job.call.request.path.clone();
-        vec![(rng.random_range(MS..5 * MS), ended(attempt, status, &path))]
+        vec![(rng.random_range(MS..5 * MS), answered_event(attempt, status, &path))]
     }
 
-    /// A request is given up.
-    pub fn abort(&mut self, seat: usize, attempt: AttemptId) -> Vec<(u64, NodeEvent)> {
+    /// Aborts a request.
+    pub fn abort(&mut self, host: usize, attempt: AttemptId) -> Vec<(u64, NodeEvent)> {
         let Some(job) = self.jobs.remove(&attempt) else { return Vec::new() };
-        if job.seat != seat {
+        if job.host != host {
             return Vec::new();
         }
         vec![(MS, NodeEvent::TargetEnded { attempt, outcome: TargetOutcome::Aborted })]
     }
 
-    /// The target in a seat is gone with its node.
-    pub fn drop_seat(&mut self, seat: usize) {
-        self.jobs.retain(|_, job| job.seat != seat);
+    /// Drops the requests of a host whose node process ended.
+    pub fn drop_host(&mut self, host: usize) {
+        self.jobs.retain(|_, job| job.host != host);
     }
 
-    /// How often a target of `service` ran the request with this path.
+    /// How often targets of `service` ran the request with this path.
     pub fn runs(&self, service: &'static str, path: &str) -> u32 {
         self.runs.get(&(service, path.to_owned())).copied().unwrap_or(0)
     }
 }
 
-fn ended(attempt: AttemptId, status: u16, path: &str) -> NodeEvent {
+fn answered_event(attempt: AttemptId, status: u16, path: &str) -> NodeEvent {
     let body = path.to_owned().into();
     let answer = HttpAnswer { status, headers: Vec::new(), body };
     NodeEvent::TargetEnded { attempt, outcome: TargetOutcome::Answered(answer) }
--- a/tests/site_faults.rs
+++ b/tests/site_faults.rs
@@ -1,53 +1,54 @@
-//! Whole nodes under faults, alone and together: the promises hold at every step.
+//! Fault injection on a simulated site: the invariants hold at every step, under single faults and
+//! random combinations.
 
 mod site;
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use site::{Checked, MS, Network, Site, TableMode};
+use site::{InvariantResult, MS, Network, Site, TableMode};
 
 const SECOND: u64 = 1_000 * MS;
 /// The seed of the random cases.
 const SEED: u64 = 0x5eed_a59e;
-/// How many random cases are tried.
+/// The default number of random cases.
 const CASES: u32 = 64;
 
-/// How many random cases are tried: more where the environment asks for them.
+/// The number of random cases, which the environment can set.
 fn cases() -> u32 {
     let asked = std::env::var("ASPENSPRING_FAULT_CASES").ok();
     asked.and_then(|cases| cases.parse().ok()).unwrap_or(CASES)
 }
 
-/// Something that goes wrong, or is done, in a run.
+/// A fault or an operation in a run.
 #[derive(Clone, Debug)]
 enum Op {
-    Call { seat: usize, confirm: bool },
+    Call { host: usize, confirm: bool },
     SameKey { one: usize, other: usize, key: u8 },
-    Kill { seat: usize },
-    Freeze { seat: usize, for_ms: u64 },
-    Cut { one: usize, other: usize, for_ms: u64 },
-    Leave { seat: usize },
+    Kill { host: usize },
+    Pause { host: usize, for_ms: u64 },
+    Partition { one: usize, other: usize, for_ms: u64 },
+    Leave { host: usize },
     Table { mode: TableMode },
-    Submit { seat: usize, based_on: u64 },
+    Submit { host: usize, based_on: u64 },
     Wait { for_ms: u64 },
 }
 
-fn op() -> impl Strategy<Value = Op> {
-    let seat = || 0..6usize;
+fn op_strategy() -> impl Strategy<Value = Op> {
+    let host = || 0..6usize;
     let mode =
-        prop_oneof![Just(TableMode::Up), Just(TableMode::Down), Just(TableMode::LosesAnswers)];
+        prop_oneof![Just(TableMode::Up), Just(TableMode::Down), Just(TableMode::LoseAnswers)];
     prop_oneof![
-        12 => (0..2usize, any::<bool>()).prop_map(|(seat, confirm)| Op::Call { seat, confirm }),
+        12 => (0..2usize, any::<bool>()).prop_map(|(host, confirm)| Op::Call { host, confirm }),
         3 => (0..2usize, 0..2usize, 0..4u8)
             .prop_map(|(one, other, key)| Op::SameKey { one, other, key }),
-        1 => seat().prop_map(|seat| Op::Kill { seat }),
-        1 => (seat(), 1..3_000u64).prop_map(|(seat, for_ms)| Op::Freeze { seat, for_ms }),
-        2 => (seat(), seat(), 1..2_000u64)
-            .prop_map(|(one, other, for_ms)| Op::Cut { one, other, for_ms }),
-        1 => seat().prop_map(|seat| Op::Leave { seat }),
+        1 => host().prop_map(|host| Op::Kill { host }),
+        1 => (host(), 1..3_000u64).prop_map(|(host, for_ms)| Op::Pause { host, for_ms }),
+        2 => (host(), host(), 1..2_000u64)
+            .prop_map(|(one, other, for_ms)| Op::Partition { one, other, for_ms }),
+        1 => host().prop_map(|host| Op::Leave { host }),
         1 => mode.prop_map(|mode| Op::Table { mode }),
-        1 => (seat(), 0..3u64).prop_map(|(seat, based_on)| Op::Submit { seat, based_on }),
+        1 => (host(), 0..3u64).prop_map(|(host, based_on)| Op::Submit { host, based_on }),
         8 => (1..200u64).prop_map(|for_ms| Op::Wait { for_ms }),
     ]
 }
@@ -67,24 +68,26 @@
     Ok(site)
 }
 
-fn apply(site: &mut Site, op: &Op) -> Checked {
+fn apply(site: &mut Site, op: &Op) -> InvariantResult {
     match *op {
-        Op::Call { seat, confirm } => site.call(seat, confirm),
+        Op::Call { host, confirm } => site.call(host, confirm),
         Op::SameKey { one, other, key } => {
             let key = format!("callers-own-{key}");
             site.confirm_with_key(one, &key);
             site.confirm_with_key(other, &key);
         }
-        Op::Kill { seat } => {
-            site.kill(seat);
-            site.restart(seat);
+        Op::Kill { host } => {
+            site.kill(host);
+            site.restart(host);
         }
-        Op::Freeze { seat, for_ms } => site.freeze(seat, for_ms * MS),
-        Op::Cut { one, other, for_ms } if one != other => site.cut(one, other, for_ms * MS),
-        Op::Cut { .. } => {}
-        Op::Leave { seat } => site.leave(seat),
+        Op::Pause { host, for_ms } => site.pause(host, for_ms * MS),
+        Op::Partition { one, other, for_ms } if one != other => {
+            site.partition(one, other, for_ms * MS);
+        }
+        Op::Partition { .. } => {}
+        Op::Leave { host } => site.leave(host),
         Op::Table { mode } => site.table.mode = mode,
-        Op::Submit { seat, based_on } => site.submit(seat, based_on),
+        Op::Submit { host, based_on } => site.submit(host, based_on),
         Op::Wait { for_ms } => {
             return site.run(site.now_us + for_ms * MS);
         }
@@ -105,11 +108,11 @@
     fn promises_hold_under_faults_together(
         seed in any::<u64>(),
         loss in 0.0..0.1f64,
-        double in 0.0..0.1f64,
+        duplicate in 0.0..0.1f64,
         delay_max_ms in 1..40u64,
-        ops in proptest::collection::vec(op(), 1..120),
+        ops in proptest::collection::vec(op_strategy(), 1..120),
     ) {
-        let network = Network { loss, double, delay_max_us: delay_max_ms * MS };
+        let network = Network { loss, duplicate, delay_max_us: delay_max_ms * MS };
         if let Err(broken) = run(seed, network, &ops) {
             prop_assert!(false, "{}", broken);
         }
@@ -117,7 +120,7 @@
 }
 
 #[test]
-fn a_healthy_site_serves_everything() -> Checked {
+fn a_healthy_site_serves_everything() -> InvariantResult {
     let mut site = Site::start(7, Network { delay_max_us: 2 * MS, ..Network::default() });
     site.run(3 * SECOND)?;
     for index in 0..200 {
@@ -133,7 +136,7 @@
 }
 
 #[test]
-fn a_configuration_reaches_every_node_with_the_table_away_after_the_accept() -> Checked {
+fn a_configuration_reaches_every_node_with_the_table_away_after_the_accept() -> InvariantResult {
     let mut site = Site::start(11, Network { delay_max_us: 2 * MS, ..Network::default() });
     site.run(3 * SECOND)?;
     site.submit(0, 0);
@@ -148,16 +151,16 @@
 }
 
 #[test]
-fn a_read_whose_caller_has_gone_is_cancelled_at_every_hop() -> Checked {
+fn a_read_whose_caller_has_gone_is_cancelled_at_every_hop() -> InvariantResult {
     let mut site = Site::start(13, Network::default());
     site.run(3 * SECOND)?;
     site.call(0, false);
     site.run(site.now_us + 2 * MS)?;
     if site.in_flight() == 0 {
-        return Err("the call was over before its caller went".to_owned());
+        return Err("the call ended before its caller disconnected".to_owned());
     }
-    site.caller_gone();
-    // The targets need a millisecond to give up; a run takes up to thirty.
+    site.disconnect_last_caller();
+    // Targets abort within 1 ms; a run takes up to 30 ms.
     site.run(site.now_us + 4 * MS)?;
     match site.in_flight() {
         0 => Ok(()),
@@ -166,8 +169,8 @@
 }
 
 #[test]
-fn a_node_whose_table_is_away_for_ten_minutes_goes_on_serving() -> Checked {
-    let mut site = Site::alone(17, Network::default());
+fn a_node_whose_table_is_away_for_ten_minutes_goes_on_serving() -> InvariantResult {
+    let mut site = Site::single_node(17, Network::default());
     site.run(8 * SECOND)?;
     site.table.mode = TableMode::Down;
     for minute in 1..=10 {
@@ -183,13 +186,14 @@
     }
 }
 
-/// A site that has served for a while, with a confirmation under way from `entry`; the node at `leaving` leaves
-/// `after_ms` after it, and the entry stands still for `frozen_ms`.
-fn calling_beside_a_leaving_node(
+/// A site that has served calls for a while, with one more confirmation entering at `entry`. The
+/// node at `leaving` starts to leave `after_ms` later; at that moment the entry node is paused for
+/// `frozen_ms`.
+fn call_during_planned_stop(
     entry: usize,
     leaving: usize,
     after_ms: u64,
-    frozen_ms: u64,
+    paused_ms: u64,
 ) -> Result<Site, String> {
     let mut site = Site::start(19, Network::default());
     site.run(3 * SECOND)?;
@@ -201,57 +205,61 @@
     site.call(entry, true);
     site.run(site.now_us + after_ms * MS)?;
     site.leave(leaving);
-    site.freeze(entry, frozen_ms * MS);
+    site.pause(entry, paused_ms * MS);
     Ok(site)
 }
 
-/// Whether that call, and all before it, were served.
-fn served_beside_a_leaving_node(
+/// Whether that call and all earlier ones were served.
+fn is_served_during_planned_stop(
     entry: usize,
     leaving: usize,
     after_ms: u64,
-    frozen_ms: u64,
+    paused_ms: u64,
 ) -> Result<bool, String> {
-    let mut site = calling_beside_a_leaving_node(entry, leaving, after_ms, frozen_ms)?;
+    let mut site = call_during_planned_stop(entry, leaving, after_ms, paused_ms)?;
     site.run(site.now_us + 4 * SECOND)?;
     site.check_end()?;
     Ok(site.served() == 41)
 }
 
-/// Fails with the moments and times, in milliseconds, of calls that were not served.
-fn expect_served_beside_a_leaving_node(leaving: usize, frozen_ms: &[u64]) -> Checked {
+/// Fails with the entry, delay and pause, both in milliseconds, of each run with an unserved call.
+fn expect_served_during_planned_stop(leaving: usize, paused_ms: &[u64]) -> InvariantResult {
     let mut failed = Vec::new();
     for entry in 0..2 {
         for after_ms in 0..8 {
-            for frozen_ms in frozen_ms {
-                if !served_beside_a_leaving_node(entry, leaving, after_ms, *frozen_ms)? {
-                    failed.push((entry, after_ms, *frozen_ms));
+            for paused_ms in paused_ms {
+                if !is_served_during_planned_stop(entry, leaving, after_ms, *paused_ms)? {
+                    failed.push((entry, after_ms, *paused_ms));
                 }
             }
         }
     }
-    if failed.is_empty() { Ok(()) } else { Err(format!("(entry, after, frozen): {failed:?}")) }
+    if failed.is_empty() {
+        Ok(())
+    } else {
+        Err(format!("(entry, after_ms, paused_ms): {failed:?}"))
+    }
 }
 
 #[test]
-fn a_planned_stop_fails_no_call_whose_entry_stands_still_for_a_moment() -> Checked {
-    expect_served_beside_a_leaving_node(3, &[0, 50, 160, 400])
+fn a_planned_stop_fails_no_call_whose_entry_node_is_paused_briefly() -> InvariantResult {
+    expect_served_during_planned_stop(3, &[0, 50, 160, 400])
 }
 
 #[test]
-fn a_planned_stop_fails_no_call_of_a_service_that_the_entry_does_not_call() -> Checked {
-    expect_served_beside_a_leaving_node(5, &[0])
+fn a_planned_stop_fails_no_call_of_a_service_that_the_entry_does_not_call() -> InvariantResult {
+    expect_served_during_planned_stop(5, &[0])
 }
 
 #[test]
-fn nobody_waits_for_the_leave_of_an_entry_that_is_gone() -> Checked {
-    let mut site = calling_beside_a_leaving_node(1, 3, 1, 400)?;
+fn no_hop_waits_for_a_retry_grant_of_an_entry_node_that_is_gone() -> InvariantResult {
+    let mut site = call_during_planned_stop(1, 3, 1, 400)?;
     site.run(site.now_us + 5 * MS)?;
     if site.in_flight() == 0 {
-        return Err("nothing waits for the entry".to_owned());
+        return Err("no hop waits for the entry node".to_owned());
     }
     site.kill(1);
-    // The connection is lost 20 ms later, and targets need some milliseconds to answer.
+    // The connection is reported lost 20 ms later, and targets take a few milliseconds to answer.
     site.run(site.now_us + 60 * MS)?;
     match site.in_flight() {
         0 => Ok(()),
