--- a/examples/overload.rs
+++ b/examples/overload.rs
@@ -1,4 +1,4 @@
-//! Plays the model of a deployment under load with each policy, and prints what came of it.
+//! Simulates a deployment under load with each admission policy and prints the results.
 //!
 //! `cargo run --release --example overload [SEED]`
 
@@ -9,10 +9,10 @@
 #[path = "../tests/emulator/mod.rs"]
 mod emulator;
 
-use emulator::{Report, Scenario, deep_chain, deep_chain_of, play};
+use emulator::{Report, Scenario, deep_chain, deep_chain_of, simulate};
 
-/// The policies side by side.
-const ARMS: [(&str, Policy); 3] =
+/// The compared policies, with their names.
+const POLICIES: [(&str, Policy); 3] =
     [("open", Policy::Open), ("levels", Policy::Levels), ("windows", Policy::Windows)];
 
 fn main() {
@@ -36,11 +36,15 @@
         "{:<22}{:<9}{:>7}{:>7}{:>8}{:>7}{:>6}  served by rank 0 1 2      s",
         "load", "policy", "earned", "worst", "wasted", "work", "+-"
     );
-    for (name, scenario) in &scenarios {
-        for (arm, policy) in ARMS {
-            let began = Instant::now();
-            let report = play(scenario, policy, seed);
-            println!("{name:<22}{arm:<9}{}{:>7.1}", row(&report), began.elapsed().as_secs_f64());
+    for (scenario_name, scenario) in &scenarios {
+        for (policy_name, policy) in POLICIES {
+            let started = Instant::now();
+            let report = simulate(scenario, policy, seed);
+            println!(
+                "{scenario_name:<22}{policy_name:<9}{}{:>7.1}",
+                row(&report),
+                started.elapsed().as_secs_f64()
+            );
             if std::env::var_os("SERIES").is_some() {
                 let work: Vec<String> =
                     report.work.iter().map(|work| format!("{work:.1}")).collect();
@@ -48,7 +52,7 @@
                 let windows: Vec<String> = report
                     .windows
                     .iter()
-                    .map(|(earned, asked)| format!("{:.2}", earned / asked))
+                    .map(|(earned, offered)| format!("{:.2}", earned / offered))
                     .collect();
                 println!("  earned {}", windows.join(" "));
             }
@@ -56,12 +60,12 @@
     }
 }
 
-/// The figures of one run.
+/// Formats the results of one simulation.
 fn row(report: &Report) -> String {
-    let (work, swing) = report.swing(8.0, 20.0);
+    let (work, deviation) = report.work_mean_and_deviation(8.0, 20.0);
     let served = |kind: usize| {
         let tally = report.tallies[kind];
-        (tally.in_time + tally.late) as f64 / tally.asked.max(1) as f64
+        (tally.in_time + tally.late) as f64 / tally.offered.max(1) as f64
     };
     format!(
         "{:>7.3}{:>7.3}{:>8.3}{:>7.2}{:>6.2}  {:>6.3}{:>6.3}{:>6.3}",
@@ -69,7 +73,7 @@
         report.worst_window(),
         report.wasted(),
         work,
-        swing,
+        deviation,
         served(1),
         served(2),
         served(0),
--- a/tests/emulator/mod.rs
+++ b/tests/emulator/mod.rs
@@ -1,9 +1,9 @@
-//! A model of a deployment under load, on a paused clock: trees of calls over targets with slots,
-//! entries that refuse by the product's own rules, and callers that come back.
+//! A simulation of a deployment under load, on a paused clock: call trees over targets with slots,
+//! entry nodes with the product's own admission control, and callers that retry.
 //!
-//! Networks and bytes are left out, so that half a minute of a busy deployment is played in a second
-//! or two and a change to what is admitted can be judged before it meets real processes. The queues,
-//! and all that is decided at entries, are the product's own.
+//! Networks and payloads are left out, so that 30 s of a busy deployment take a second or two, and a
+//! change to admission can be evaluated before it is tried on real processes. The queues and all
+//! decisions at entry nodes run the product's own code.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,114 +20,114 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-/// How often other nodes hear of a target's work, as while it is busy.
-const TELL_EVERY: Duration = Duration::from_millis(180);
-/// How long a message between nodes takes.
-const HOP: Duration = Duration::from_micros(500);
-/// How often the load is sampled, and counted as one window of time.
+/// How often nodes receive the load of all targets; the interval of a busy target.
+const LOAD_PUBLISH_INTERVAL: Duration = Duration::from_millis(180);
+/// The one-way latency of a message between nodes.
+const HOP_LATENCY: Duration = Duration::from_micros(500);
+/// The length of a report window.
 const WINDOW: Duration = Duration::from_secs(2);
 
 /// A service.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// The speed of each target; 1 is the usual one.
+    /// The relative speed of each target; 1 is nominal.
     pub speeds: Vec<f64>,
-    /// How many requests each target runs at once.
+    /// How many requests each target runs concurrently.
     pub slots: u32,
 }
 
-/// A kind of request, of callers or between targets.
+/// A kind of request, from callers or between targets.
 #[derive(Clone, Debug)]
 pub struct Kind {
-    /// Its name; that of its route.
+    /// Its name, which is also that of its route.
     pub name: &'static str,
     /// The index of its service.
     pub service: usize,
     /// The rank of its route.
     pub rank: u8,
-    /// The typical run without the calls, in milliseconds.
+    /// The typical run time without downstream calls, in milliseconds.
     pub work_ms: f64,
-    /// How long an answer is of use, in milliseconds.
+    /// The timeout of the request, in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which it has its full worth, in milliseconds.
+    /// The time within which an answer has its full value, in milliseconds.
     pub objective_ms: u64,
-    /// What an answer in time is worth.
-    pub worth: f64,
-    /// Calls that each run makes one after the other: the index of their kind, and how many.
+    /// The value of an answer in time.
+    pub value: f64,
+    /// Sequential calls made by each run: the index of their kind and their number.
     pub calls: Option<(usize, usize)>,
-    /// Its part of the requests of callers, relative to the others; 0 for calls between targets.
+    /// Its relative weight among callers' requests; 0 for calls between targets.
     pub weight: f64,
 }
 
-/// What is played.
+/// A simulated scenario.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// The services.
     pub services: Vec<Service>,
     /// The kinds of requests.
     pub kinds: Vec<Kind>,
-    /// From which second on how many requests come in a second.
+    /// The load as steps: the start in seconds and the requests per second from then on.
     pub load: Vec<(f64, f64)>,
-    /// How long it is played, in seconds.
-    pub length_s: f64,
-    /// How often a caller comes back that was refused or failed.
-    pub returns: u32,
+    /// The simulated duration, in seconds.
+    pub duration_s: f64,
+    /// How often a caller retries after a refusal or failure.
+    pub retries: u32,
 }
 
-/// What came of one kind of request.
+/// The outcomes of one kind of request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
-    /// Requests, those that came back not counted again.
-    pub asked: u64,
-    /// Answered in time.
+    /// Requests, without callers' retries.
+    pub offered: u64,
+    /// Requests answered within the objective.
     pub in_time: u64,
-    /// Answered later.
+    /// Requests answered later.
     pub late: u64,
-    /// Refusals at an entry.
+    /// Refusals at an entry node, with callers' retries.
     pub refused: u64,
-    /// Trees that began and failed.
+    /// Call trees that were admitted and failed.
     pub failed: u64,
 }
 
-/// What came of it all.
+/// The results of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// By kind, in the order of the scenario.
+    /// Outcomes by kind, in the order of the scenario.
     pub tallies: Vec<Tally>,
-    /// Worth earned by worth asked for, in windows of two seconds.
+    /// Value earned and value offered, in windows of two seconds.
     pub windows: Vec<(f64, f64)>,
-    /// Runs of targets.
+    /// Runs at targets.
     pub runs: u64,
-    /// Of them those of trees that failed.
+    /// Runs of call trees that failed.
     pub wasted_runs: u64,
-    /// The work of the busiest service as a share of its slots, each `ADJUST_EVERY`.
+    /// The work of the busiest service as a share of its slots, sampled each `ADJUST_EVERY`.
     pub work: Vec<f64>,
 }
 
 impl Report {
-    /// Worth earned as a share of what was asked for.
+    /// Value earned as a share of the value offered.
     pub fn earned(&self) -> f64 {
-        let (earned, asked) = self
+        let (earned, offered) = self
             .windows
             .iter()
-            .fold((0.0, 0.0), |(earned, asked), window| (earned + window.0, asked + window.1));
-        earned / asked
+            .fold((0.0, 0.0), |(earned, offered), window| (earned + window.0, offered + window.1));
+        earned / offered
     }
 
-    /// The least share earned in any window but the last, in which requests are cut off.
+    /// The smallest share earned in a window. The last window is left out, because its requests are cut
+    /// off.
     pub fn worst_window(&self) -> f64 {
         let whole = &self.windows[..self.windows.len() - 1];
-        whole.iter().map(|(earned, asked)| earned / asked).fold(1.0, f64::min)
+        whole.iter().map(|(earned, offered)| earned / offered).fold(1.0, f64::min)
     }
 
-    /// Runs that earned nothing as a share of all.
+    /// Wasted runs as a share of all runs.
     pub fn wasted(&self) -> f64 {
         self.wasted_runs as f64 / self.runs.max(1) as f64
     }
 
-    /// How far the work of the busiest service swings between two seconds: the mean, and the standard
-    /// deviation.
-    pub fn swing(&self, from_s: f64, to_s: f64) -> (f64, f64) {
+    /// The mean and the standard deviation of the busiest service's work between two times in seconds.
+    pub fn work_mean_and_deviation(&self, from_s: f64, to_s: f64) -> (f64, f64) {
         let index = |at_s: f64| (at_s / ADJUST_EVERY.as_secs_f64()) as usize;
         let work = &self.work[index(from_s)..index(to_s).min(self.work.len())];
         let count = work.len().max(1) as f64;
@@ -137,83 +137,83 @@
     }
 }
 
-/// A target with the node beside it.
+/// A target with its node.
 struct Node {
     service: usize,
     speed: f64,
     gate: Rc<Gate>,
     overload: Overload,
-    /// Requests that run here, by the route that began them.
+    /// Requests running here, by the route of their root.
     running: RefCell<HashMap<usize, u32>>,
-    /// What it has heard of the others' loads, by their index.
-    heard: RefCell<Vec<Load>>,
-    /// Calls it has sent to each of the others since it heard of them.
-    sent: RefCell<Vec<u32>>,
+    /// The last known load of each node, by index.
+    known_loads: RefCell<Vec<Load>>,
+    /// Calls sent to each node since its load was last received.
+    sent_calls: RefCell<Vec<u32>>,
 }
 
-struct World {
+struct Simulation {
     scenario: Scenario,
     nodes: Vec<Node>,
     routes: Vec<Route>,
-    /// What was told last of each service.
-    told: RefCell<HashMap<String, ServiceView>>,
+    /// The last published view of each service.
+    published_views: RefCell<HashMap<String, ServiceView>>,
     rng: RefCell<SmallRng>,
-    began: Instant,
+    started: Instant,
     report: RefCell<Report>,
 }
 
-/// A tree of calls.
+/// A root request with all its downstream calls.
 #[derive(Clone)]
-struct Tree {
+struct CallTree {
     root: usize,
     runs: Rc<Cell<u64>>,
 }
 
-/// Plays a scenario with the given policy and seed.
-pub fn play(scenario: &Scenario, policy: Policy, seed: u64) -> Report {
+/// Simulates a scenario with the given policy and seed.
+pub fn simulate(scenario: &Scenario, policy: Policy, seed: u64) -> Report {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_time().start_paused(true).build().unwrap();
     LocalSet::new().block_on(&runtime, async {
-        let world = Rc::new(World::new(scenario.clone(), policy, seed));
-        let telling = spawn_local(tell(Rc::clone(&world)));
-        let adjusting = spawn_local(adjust(Rc::clone(&world)));
-        arrive(&world).await;
-        telling.abort();
-        adjusting.abort();
-        world.report.take()
+        let simulation = Rc::new(Simulation::new(scenario.clone(), policy, seed));
+        let publisher = spawn_local(publish_loads(Rc::clone(&simulation)));
+        let adjuster = spawn_local(adjust_admission(Rc::clone(&simulation)));
+        generate_load(&simulation).await;
+        publisher.abort();
+        adjuster.abort();
+        simulation.report.take()
     })
 }
 
-impl World {
+impl Simulation {
     fn new(scenario: Scenario, policy: Policy, seed: u64) -> Self {
         let mut nodes = Vec::new();
-        for (service, known) in scenario.services.iter().enumerate() {
-            for speed in &known.speeds {
+        for (service, config) in scenario.services.iter().enumerate() {
+            for speed in &config.speeds {
                 let gate = Rc::new(Gate::default());
-                gate.set_slots(known.slots);
+                gate.set_slots(config.slots);
                 nodes.push(Node {
                     service,
                     speed: *speed,
                     gate,
                     overload: Overload::new(policy),
                     running: RefCell::default(),
-                    heard: RefCell::default(),
-                    sent: RefCell::default(),
+                    known_loads: RefCell::default(),
+                    sent_calls: RefCell::default(),
                 });
             }
         }
         for node in &nodes {
-            node.heard.replace(nodes.iter().map(|other| other.gate.load()).collect());
-            node.sent.replace(vec![0; nodes.len()]);
+            node.known_loads.replace(nodes.iter().map(|other| other.gate.load()).collect());
+            node.sent_calls.replace(vec![0; nodes.len()]);
         }
         let routes = scenario.kinds.iter().map(route).collect();
         let tallies = vec![Tally::default(); scenario.kinds.len()];
         Self {
             nodes,
             routes,
-            told: RefCell::default(),
+            published_views: RefCell::default(),
             rng: RefCell::new(SmallRng::seed_from_u64(seed)),
-            began: Instant::now(),
+            started: Instant::now(),
             report: RefCell::new(Report { tallies, ..Report::default() }),
             scenario,
         }
@@ -223,15 +223,15 @@
         self.rng.borrow_mut().random()
     }
 
-    /// The load of the moment, in requests a second.
+    /// The current load, in requests per second.
     fn rate(&self) -> f64 {
-        let now_s = self.began.elapsed().as_secs_f64();
+        let now_s = self.started.elapsed().as_secs_f64();
         let steps = self.scenario.load.iter().filter(|(from_s, _)| *from_s <= now_s);
         steps.max_by(|a, b| a.0.total_cmp(&b.0)).map_or(0.0, |(_, rate)| *rate)
     }
 
-    /// A kind of request of callers, by weight.
-    fn draw_kind(&self) -> usize {
+    /// A random kind of caller request, by weight.
+    fn random_kind(&self) -> usize {
         let total: f64 = self.scenario.kinds.iter().map(|kind| kind.weight).sum();
         let mut left = self.random() * total;
         for (index, kind) in self.scenario.kinds.iter().enumerate() {
@@ -243,16 +243,17 @@
         0
     }
 
-    /// The least busy target of a service, as the node `sender` knows them.
-    fn pick(&self, sender: usize, service: usize) -> usize {
+    /// The least busy target of a service according to the loads known to node `sender`.
+    fn pick_target(&self, sender: usize, service: usize) -> usize {
         let node = &self.nodes[sender];
-        let (heard, sent) = (node.heard.borrow(), node.sent.borrow());
+        let (known_loads, sent_calls) = (node.known_loads.borrow(), node.sent_calls.borrow());
         let mut best = (f64::INFINITY, 0);
         for (index, other) in self.nodes.iter().enumerate() {
             if other.service != service {
                 continue;
             }
-            let busy = busy_share(heard[index], sent[index], false) + self.random() * 0.06;
+            let busy =
+                busy_share(known_loads[index], sent_calls[index], false) + self.random() * 0.06;
             if busy < best.0 {
                 best = (busy, index);
             }
@@ -260,7 +261,7 @@
         best.1
     }
 
-    /// What is known of all services at this moment.
+    /// The current view of each service.
     fn views(&self) -> HashMap<String, ServiceView> {
         let mut views: HashMap<String, ServiceView> = HashMap::new();
         for node in &self.nodes {
@@ -277,15 +278,15 @@
         views
     }
 
-    /// Counts worth in the window of the moment `at`.
-    fn count_worth(&self, at: Instant, earned: f64, asked: f64) {
-        let index = ((at - self.began).as_secs_f64() / WINDOW.as_secs_f64()) as usize;
+    /// Adds value to the window that contains `at`.
+    fn record_value(&self, at: Instant, earned: f64, offered: f64) {
+        let index = ((at - self.started).as_secs_f64() / WINDOW.as_secs_f64()) as usize;
         let mut report = self.report.borrow_mut();
         if report.windows.len() <= index {
             report.windows.resize(index + 1, (0.0, 0.0));
         }
         report.windows[index].0 += earned;
-        report.windows[index].1 += asked;
+        report.windows[index].1 += offered;
     }
 }
 
@@ -308,72 +309,72 @@
     }
 }
 
-/// Lets nodes hear of each other's work from time to time.
-async fn tell(world: Rc<World>) {
+/// Periodically publishes the load of all nodes to each node.
+async fn publish_loads(simulation: Rc<Simulation>) {
     loop {
-        sleep(TELL_EVERY).await;
-        let loads: Vec<Load> = world.nodes.iter().map(|node| node.gate.load()).collect();
-        for node in &world.nodes {
-            node.heard.replace(loads.clone());
-            node.sent.borrow_mut().fill(0);
+        sleep(LOAD_PUBLISH_INTERVAL).await;
+        let loads: Vec<Load> = simulation.nodes.iter().map(|node| node.gate.load()).collect();
+        for node in &simulation.nodes {
+            node.known_loads.replace(loads.clone());
+            node.sent_calls.borrow_mut().fill(0);
         }
-        world.told.replace(world.views());
+        simulation.published_views.replace(simulation.views());
     }
 }
 
-/// Lets all entries adjust what they admit.
-async fn adjust(world: Rc<World>) {
-    let rank_max = world.scenario.kinds.iter().map(|kind| kind.rank).max().unwrap_or(0);
+/// Periodically adjusts admission at all nodes and samples the work of the busiest service.
+async fn adjust_admission(simulation: Rc<Simulation>) {
+    let rank_max = simulation.scenario.kinds.iter().map(|kind| kind.rank).max().unwrap_or(0);
     loop {
         sleep(ADJUST_EVERY).await;
         let mut busiest: f64 = 0.0;
-        for view in world.views().values() {
+        for view in simulation.views().values() {
             let work = f64::from(view.load.running + view.load.waiting);
             busiest = busiest.max(work / f64::from(view.load.limit));
         }
-        world.report.borrow_mut().work.push(busiest);
-        let told = world.told.borrow().clone();
-        for node in &world.nodes {
-            node.overload.adjust(&told, rank_max, world.nodes.len());
+        simulation.report.borrow_mut().work.push(busiest);
+        let published_views = simulation.published_views.borrow().clone();
+        for node in &simulation.nodes {
+            node.overload.adjust(&published_views, rank_max, simulation.nodes.len());
         }
     }
 }
 
-/// Lets callers come until the scenario ends.
-async fn arrive(world: &Rc<World>) {
-    let end = world.began + Duration::from_secs_f64(world.scenario.length_s);
-    let mut next = world.began;
+/// Starts callers, with exponentially distributed gaps, until the scenario ends.
+async fn generate_load(simulation: &Rc<Simulation>) {
+    let end = simulation.started + Duration::from_secs_f64(simulation.scenario.duration_s);
+    let mut next = simulation.started;
     while next < end {
         sleep_until(next).await;
-        let kind = world.draw_kind();
-        spawn_local(call_in(Rc::clone(world), kind));
-        let pause_s = -(1.0 - world.random()).ln() / world.rate();
+        let kind = simulation.random_kind();
+        spawn_local(run_caller(Rc::clone(simulation), kind));
+        let pause_s = -(1.0 - simulation.random()).ln() / simulation.rate();
         next += Duration::from_secs_f64(pause_s);
     }
 }
 
-/// One caller: asks, and comes back where it was refused or failed.
-async fn call_in(world: Rc<World>, index: usize) {
-    let kind = &world.scenario.kinds[index];
-    let began = Instant::now();
-    world.count_worth(began, 0.0, kind.worth);
-    world.report.borrow_mut().tallies[index].asked += 1;
-    for _ in 0..=world.scenario.returns {
-        let entry = world.rng.borrow_mut().random_range(0..world.nodes.len());
-        let overload = &world.nodes[entry].overload;
-        let route = &world.routes[index];
-        let admitted = overload.admit(route, route.rank, &mut *world.rng.borrow_mut());
+/// One caller, which retries after a refusal or failure.
+async fn run_caller(simulation: Rc<Simulation>, index: usize) {
+    let kind = &simulation.scenario.kinds[index];
+    let started = Instant::now();
+    simulation.record_value(started, 0.0, kind.value);
+    simulation.report.borrow_mut().tallies[index].offered += 1;
+    for _ in 0..=simulation.scenario.retries {
+        let entry = simulation.rng.borrow_mut().random_range(0..simulation.nodes.len());
+        let overload = &simulation.nodes[entry].overload;
+        let route = &simulation.routes[index];
+        let admitted = overload.admit(route, route.rank, &mut *simulation.rng.borrow_mut());
         let Some(_admitted) = admitted else {
-            world.report.borrow_mut().tallies[index].refused += 1;
-            let share = 0.3 + 0.4 * world.random();
+            simulation.report.borrow_mut().tallies[index].refused += 1;
+            let share = 0.3 + 0.4 * simulation.random();
             sleep(Duration::from_millis((kind.objective_ms as f64 * share) as u64)).await;
             continue;
         };
-        let tree = Tree { root: index, runs: Rc::default() };
+        let tree = CallTree { root: index, runs: Rc::default() };
         let deadline = Instant::now() + Duration::from_millis(kind.timeout_ms);
-        let call = call(Rc::clone(&world), entry, index, tree.clone(), deadline);
+        let call = make_call(Rc::clone(&simulation), entry, index, tree.clone(), deadline);
         let is_served = timeout_at(deadline, call).await.unwrap_or(false);
-        let mut report = world.report.borrow_mut();
+        let mut report = simulation.report.borrow_mut();
         report.runs += tree.runs.get();
         if !is_served {
             report.wasted_runs += tree.runs.get();
@@ -381,8 +382,8 @@
             continue;
         }
         drop(report);
-        let in_time = began.elapsed() <= Duration::from_millis(kind.objective_ms);
-        let mut report = world.report.borrow_mut();
+        let in_time = started.elapsed() <= Duration::from_millis(kind.objective_ms);
+        let mut report = simulation.report.borrow_mut();
         let tally = &mut report.tallies[index];
         if in_time {
             tally.in_time += 1
@@ -390,55 +391,55 @@
             tally.late += 1
         }
         drop(report);
-        world.count_worth(began, if in_time { kind.worth } else { kind.worth * 0.4 }, 0.0);
+        simulation.record_value(started, if in_time { kind.value } else { kind.value * 0.4 }, 0.0);
         return;
     }
 }
 
-/// One call from the node `sender`; says whether it worked.
-async fn call(
-    world: Rc<World>,
+/// Makes one call from node `sender`; returns whether it succeeded.
+async fn make_call(
+    simulation: Rc<Simulation>,
     sender: usize,
     index: usize,
-    tree: Tree,
+    tree: CallTree,
     deadline: Instant,
 ) -> bool {
-    let kind = &world.scenario.kinds[index];
+    let kind = &simulation.scenario.kinds[index];
     let deadline = deadline.min(Instant::now() + Duration::from_millis(kind.timeout_ms));
-    let target = world.pick(sender, kind.service);
-    world.nodes[sender].sent.borrow_mut()[target] += 1;
-    sleep(HOP).await;
-    let is_served = run(&world, target, index, &tree, deadline).await;
-    sleep(HOP).await;
-    let node = &world.nodes[sender];
-    node.heard.borrow_mut()[target] = world.nodes[target].gate.load();
-    node.sent.borrow_mut()[target] = 0;
+    let target = simulation.pick_target(sender, kind.service);
+    simulation.nodes[sender].sent_calls.borrow_mut()[target] += 1;
+    sleep(HOP_LATENCY).await;
+    let is_served = run_at_target(&simulation, target, index, &tree, deadline).await;
+    sleep(HOP_LATENCY).await;
+    let node = &simulation.nodes[sender];
+    node.known_loads.borrow_mut()[target] = simulation.nodes[target].gate.load();
+    node.sent_calls.borrow_mut()[target] = 0;
     is_served
 }
 
-/// Waits for a slot at a target and runs the call in it.
-async fn run(
-    world: &Rc<World>,
+/// Waits for a slot at a target and runs a call in it; returns whether it succeeded.
+async fn run_at_target(
+    simulation: &Rc<Simulation>,
     target: usize,
     index: usize,
-    tree: &Tree,
+    tree: &CallTree,
     deadline: Instant,
 ) -> bool {
-    let kind = &world.scenario.kinds[index];
-    let node = &world.nodes[target];
-    let begin_by = deadline - (node.gate.typical_run() / 2).max(Duration::from_millis(3));
-    let rank = world.scenario.kinds[tree.root].rank;
-    let Ok(Ok(_slot)) = timeout_at(begin_by, node.gate.enter(rank)).await else { return false };
+    let kind = &simulation.scenario.kinds[index];
+    let node = &simulation.nodes[target];
+    let start_by = deadline - (node.gate.typical_run() / 2).max(Duration::from_millis(3));
+    let rank = simulation.scenario.kinds[tree.root].rank;
+    let Ok(Ok(_slot)) = timeout_at(start_by, node.gate.enter(rank)).await else { return false };
     tree.runs.set(tree.runs.get() + 1);
-    let _counted = RootCount::new(&node.running, tree.root);
-    let spread = 0.5 + world.random();
-    let work = Duration::from_secs_f64(kind.work_ms * spread / node.speed / 1_000.0);
+    let _running = RunningGuard::new(&node.running, tree.root);
+    let factor = 0.5 + simulation.random();
+    let work = Duration::from_secs_f64(kind.work_ms * factor / node.speed / 1_000.0);
     if timeout_at(deadline, sleep(work)).await.is_err() {
         return false;
     }
     let Some((called, times)) = kind.calls else { return true };
     for _ in 0..times {
-        let call = call(Rc::clone(world), target, called, tree.clone(), deadline);
+        let call = make_call(Rc::clone(simulation), target, called, tree.clone(), deadline);
         if !timeout_at(deadline, Box::pin(call)).await.unwrap_or(false) {
             return false;
         }
@@ -446,34 +447,35 @@
     true
 }
 
-/// Counts a request among those that run at a target.
-struct RootCount<'a> {
+/// Counts a request as running at a target until dropped.
+struct RunningGuard<'a> {
     running: &'a RefCell<HashMap<usize, u32>>,
     root: usize,
 }
 
-impl<'a> RootCount<'a> {
+impl<'a> RunningGuard<'a> {
     fn new(running: &'a RefCell<HashMap<usize, u32>>, root: usize) -> Self {
         *running.borrow_mut().entry(root).or_default() += 1;
         Self { running, root }
     }
 }
 
-impl Drop for RootCount<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         *self.running.borrow_mut().entry(self.root).or_default() -= 1;
     }
 }
 
-/// A chain four services deep whose last one is the bottleneck, with a booking that goes the same
-/// way, and a look at the last service alone. `scale` is the number of targets of each service, and
-/// `load` how much is asked for, as a share of what the bottleneck can run, from which second on.
+/// A chain of four services whose last one is the bottleneck. Browsing passes all four, booking joins
+/// the chain at the second, and looking calls only the last. `scale` is the number of targets of each
+/// service. `load` is a list of steps: the start in seconds, and the load as a share of the
+/// bottleneck's capacity.
 pub fn deep_chain(scale: usize, load: &[(f64, f64)]) -> Scenario {
     deep_chain_of(scale, 40, load)
 }
 
-/// The same with targets of the last service that run `slots` requests at once, and the others in
-/// proportion.
+/// Like [`deep_chain`], with `slots` concurrent requests at each target of the last service and
+/// proportional numbers at the others.
 pub fn deep_chain_of(scale: usize, slots: u32, load: &[(f64, f64)]) -> Scenario {
     let speeds = |all: &[f64]| (0..scale).map(|index| all[index % all.len()]).collect();
     let service = |usual: u32, all: &[f64]| Service {
@@ -487,14 +489,14 @@
         work_ms,
         timeout_ms,
         objective_ms: 1_200,
-        worth: 0.0,
+        value: 0.0,
         calls: None,
         weight: 0.0,
     };
     let kinds = vec![
-        Kind { worth: 1.0, calls: Some((3, 2)), weight: 6.0, ..kind("browse", 0, 2, 100.0, 1_500) },
-        Kind { worth: 3.0, calls: Some((4, 1)), weight: 2.0, ..kind("book", 1, 0, 140.0, 900) },
-        Kind { worth: 2.0, weight: 1.5, objective_ms: 150, ..kind("look", 3, 1, 40.0, 600) },
+        Kind { value: 1.0, calls: Some((3, 2)), weight: 6.0, ..kind("browse", 0, 2, 100.0, 1_500) },
+        Kind { value: 3.0, calls: Some((4, 1)), weight: 2.0, ..kind("book", 1, 0, 140.0, 900) },
+        Kind { value: 2.0, weight: 1.5, objective_ms: 150, ..kind("look", 3, 1, 40.0, 600) },
         Kind { calls: Some((4, 1)), ..kind("stock", 1, 0, 15.0, 3_000) },
         Kind { calls: Some((5, 4)), ..kind("index", 2, 0, 15.0, 2_500) },
         kind("price", 3, 0, 25.0, 700),
@@ -511,5 +513,5 @@
     let work_s = (6.0 * 8.0 * 0.025 + 2.0 * 4.0 * 0.025 + 1.5 * 0.040) / 9.5;
     let rate = capacity / work_s;
     let load = load.iter().map(|(from_s, share)| (*from_s, share * rate)).collect();
-    Scenario { services, kinds, load, length_s: 30.0, returns: 2 }
+    Scenario { services, kinds, load, duration_s: 30.0, retries: 2 }
 }
--- a/tests/overload_model.rs
+++ b/tests/overload_model.rs
@@ -1,34 +1,37 @@
-//! What is admitted under overload, judged on a model of a deployment with a paused clock.
+//! Admission under overload, evaluated on a simulated deployment with a paused clock.
 
 use aspenspring::mesh::overload::Policy;
 
-#[allow(dead_code, reason = "the experiment uses more of it")]
+#[allow(dead_code, reason = "the overload example uses more of it")]
 mod emulator;
 
-use emulator::{Report, deep_chain, play};
+use emulator::{Report, deep_chain, simulate};
 
-/// Half of what the bottleneck can run, then `peak` times as much as it can, then half of it again.
+/// Simulates a load of half the bottleneck's capacity, then `peak` times the capacity, then half again.
 fn surge(peak: f64, policy: Policy, seed: u64) -> Report {
-    play(&deep_chain(4, &[(0.0, 0.5), (5.0, peak), (20.0, 0.5)]), policy, seed)
+    simulate(&deep_chain(4, &[(0.0, 0.5), (5.0, peak), (20.0, 0.5)]), policy, seed)
 }
 
-/// The share of the requests of a kind that were served, in time or late.
+/// The share of requests of a kind that were answered, in time or late.
 fn served(report: &Report, kind: usize) -> f64 {
     let tally = report.tallies[kind];
-    (tally.in_time + tally.late) as f64 / tally.asked as f64
+    (tally.in_time + tally.late) as f64 / tally.offered as f64
 }
 
 #[test]
 fn twice_the_load_wastes_nothing_and_the_most_important_are_served() {
     for seed in 1..4 {
         let report = surge(2.0, Policy::Windows, seed);
-        assert!(report.wasted() < 0.02, "runs that earned nothing: {}", report.wasted());
+        assert!(report.wasted() < 0.02, "wasted runs: {}", report.wasted());
         assert!(report.earned() > 0.73, "earned: {}", report.earned());
         let [browse, book, look] = [0, 1, 2].map(|kind| served(&report, kind));
         assert!(book > 0.98 && look > 0.95, "{book} {look}");
         assert!(browse < book && browse > 0.4, "{browse}");
-        let (work, swing) = report.swing(8.0, 20.0);
-        assert!(swing < 0.4, "the work of the bottleneck swings by {swing} around {work}");
+        let (mean, deviation) = report.work_mean_and_deviation(8.0, 20.0);
+        assert!(
+            deviation < 0.4,
+            "work of the bottleneck: mean {mean}, standard deviation {deviation}"
+        );
     }
 }
 
@@ -36,16 +39,16 @@
 fn ten_times_the_load_is_no_reason_to_run_what_fails() {
     for seed in 1..4 {
         let report = surge(10.0, Policy::Windows, seed);
-        assert!(report.wasted() < 0.02, "runs that earned nothing: {}", report.wasted());
+        assert!(report.wasted() < 0.02, "wasted runs: {}", report.wasted());
         assert!(report.worst_window() > 0.18, "worst window: {}", report.worst_window());
-        assert!(report.windows[11].0 / report.windows[11].1 > 0.9, "not over when the surge is");
+        assert!(report.windows[11].0 / report.windows[11].1 > 0.9, "no recovery after the surge");
     }
 }
 
 #[test]
 fn a_load_that_fits_is_hardly_refused() {
     let scenario = deep_chain(4, &[(0.0, 0.5), (5.0, 0.9)]);
-    let report = play(&scenario, Policy::Windows, 1);
+    let report = simulate(&scenario, Policy::Windows, 1);
     assert!(report.earned() > 0.96, "earned: {}", report.earned());
 }
 
