--- a/examples/node_cost.rs
+++ b/examples/node_cost.rs
@@ -1,4 +1,4 @@
-//! What deciding about calls costs one node: time and memory for each call, without any I/O.
+//! Measures the time and memory that one node needs for each call, without any I/O.
 //!
 //! `cargo run --release --example node_cost`
 
@@ -12,11 +12,11 @@
     Announcement, Intake, Node, NodeAction, NodeEvent, NodeIdentity, TargetOutcome, Ticket,
 };
 
-/// Calls that are measured.
+/// The number of measured calls.
 const CALLS: u64 = 200_000;
-/// Calls before those, which fill tables and caches.
+/// The number of calls before the measurement, which fill tables and caches.
 const WARM_UP_CALLS: u64 = 20_000;
-/// The made-up time between two calls, in microseconds.
+/// The simulated time between two calls, in microseconds.
 const CALL_EVERY_US: u64 = 200;
 
 fn main() {
@@ -32,9 +32,9 @@
     {
         let mut driver = Driver::new(settings.clone());
         driver.run(WARM_UP_CALLS, method, path);
-        let began = Instant::now();
+        let started = Instant::now();
         let answered = driver.run(CALLS, method, path);
-        let ns = began.elapsed().as_nanos() / u128::from(CALLS);
+        let ns = started.elapsed().as_nanos() / u128::from(CALLS);
         println!("{name}: {ns} ns for a call that enters, is admitted and answered on one node");
         println!("  answered {answered} of {CALLS}, resident {} KB", resident_kb());
     }
@@ -69,12 +69,13 @@
         let mut out = Vec::new();
         node.handle(1, NodeEvent::TargetAnnounced(announcement), &mut out);
         let mut driver = Self { node, service, now_us: 1, tickets: 0 };
-        driver.settle_store(out);
+        driver.answer_store_requests(out);
         driver
     }
 
-    /// Answers the first reads and writes as an empty table does, so that the node serves.
-    fn settle_store(&mut self, mut actions: Vec<NodeAction>) {
+    /// Answers the first requests to the table service as an empty table would, so that the node becomes
+    /// ready.
+    fn answer_store_requests(&mut self, mut actions: Vec<NodeAction>) {
         use aspenspring::duty::store::{StoreEvent, StoreOperation, StoreOutcome};
         for _ in 0..2_000 {
             let mut next = Vec::new();
@@ -94,14 +95,14 @@
         }
     }
 
-    /// Makes calls one after the other and counts the whole answers.
+    /// Makes calls one after the other and counts the answers.
     fn run(&mut self, calls: u64, method: &str, path: &str) -> u64 {
         let mut answered = 0;
         let mut out = Vec::new();
         for index in 0..calls {
             self.now_us += CALL_EVERY_US;
             if index % 1_000 == 0 {
-                self.node.handle(self.now_us, self.sign_of_life(), &mut out);
+                self.node.handle(self.now_us, self.announcement(), &mut out);
             }
             self.tickets += 1;
             let event = NodeEvent::CallerCall(self.intake(method, path));
@@ -123,9 +124,10 @@
                     self.node.handle(self.now_us + 50, event, out);
                 }
                 NodeAction::Reply { end, .. } => {
-                    let whole = matches!(end.verdict, aspenspring::call::Verdict::Answered(_));
-                    answered += u64::from(whole);
-                    assert!(whole, "{:?}", end.verdict);
+                    let is_answered =
+                        matches!(end.verdict, aspenspring::call::Verdict::Answered(_));
+                    answered += u64::from(is_answered);
+                    assert!(is_answered, "{:?}", end.verdict);
                 }
                 _ => {}
             }
@@ -133,7 +135,7 @@
         answered
     }
 
-    fn sign_of_life(&self) -> NodeEvent {
+    fn announcement(&self) -> NodeEvent {
         NodeEvent::TargetAnnounced(Announcement {
             url: "http://127.0.0.1:1".to_owned(),
             service: self.service.clone(),
@@ -160,7 +162,7 @@
     }
 }
 
-/// The memory the process holds, in KB; 0 where the system does not tell.
+/// The resident memory of the process in KB; 0 if the system does not report it.
 fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS"));
--- a/tests/node_retry.rs
+++ b/tests/node_retry.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when attempts of its request ended in different ways.
+//! The answer to a caller when attempts of its request end in different ways.
 
 use std::sync::Arc;
 
@@ -33,7 +33,7 @@
                                     "backoff_ms": 5, "backoff_max_ms": 50}}]
         }
     }))
-    .expect("the settings are well formed");
+    .expect("the settings are valid");
     let identity = NodeIdentity::builder()
         .id(NodeId(7))
         .peer_address(([127, 0, 0, 1], 7).into())
@@ -43,8 +43,8 @@
     Node::new(0, identity, Arc::new(settings), Box::new(|_| Err("not used".to_owned())))
 }
 
-/// Starts a node over an empty table, with its target up.
-fn started() -> Node {
+/// Starts a node with an empty table and an announced target.
+fn started_node() -> Node {
     let mut node = node();
     let mut out = Vec::new();
     node.handle(0, NodeEvent::Tick, &mut out);
@@ -73,8 +73,8 @@
     node.handle(now_us, NodeEvent::TargetAnnounced(announcement), &mut Vec::new());
 }
 
-/// Sends a read and returns its first attempt, which runs.
-fn call_that_runs(node: &mut Node, now_us: u64) -> AttemptId {
+/// Sends a read and returns its first attempt, which is running.
+fn start_read(node: &mut Node, now_us: u64) -> AttemptId {
     let request = HttpRequest {
         method: "GET".to_owned(),
         path: "/stock/1".to_owned(),
@@ -91,15 +91,15 @@
     };
     let mut out = Vec::new();
     node.handle(now_us, NodeEvent::CallerCall(intake), &mut out);
-    run_attempt(&out).unwrap_or_else(|| panic!("no run: {out:?}"))
+    run_attempt(&out).unwrap_or_else(|| panic!("no attempt reached the target: {out:?}"))
 }
 
-/// Sends a read and lets its first run break off; returns what the caller is told by then.
-fn call_that_breaks(node: &mut Node, now_us: u64) -> Vec<Verdict> {
-    let attempt = call_that_runs(node, now_us);
+/// Sends a read whose first run breaks off; returns the answers sent so far.
+fn start_read_that_breaks(node: &mut Node, now_us: u64) -> Vec<Verdict> {
+    let attempt = start_read(node, now_us);
     let mut after = Vec::new();
-    let broke = NodeEvent::TargetEnded { attempt, outcome: TargetOutcome::Broke };
-    node.handle(now_us + 1_000, broke, &mut after);
+    let ended = NodeEvent::TargetEnded { attempt, outcome: TargetOutcome::Broke };
+    node.handle(now_us + 1_000, ended, &mut after);
     replies(&after)
 }
 
@@ -122,36 +122,36 @@
 
 #[test]
 fn a_request_that_may_have_run_is_not_told_not_run_after_a_refused_retry() {
-    let mut node = started();
-    let told = call_that_breaks(&mut node, 1_000);
-    assert_eq!(told, [], "the retry is granted and waits");
+    let mut node = started_node();
+    let verdicts = start_read_that_breaks(&mut node, 1_000);
+    assert_eq!(verdicts, [], "the retry is granted and backing off");
     let mut out = Vec::new();
     node.handle(2_500, NodeEvent::Leave { asked_by: Asker::Operator }, &mut out);
     for step in 1..=300 {
         node.handle(2_500 + step * 10_000, NodeEvent::Tick, &mut out);
     }
-    let told = replies(&out);
-    assert_eq!(told.len(), 1);
-    assert!(matches!(told[0], Verdict::MayHaveRun(_)), "told {:?}", told[0]);
+    let verdicts = replies(&out);
+    assert_eq!(verdicts.len(), 1);
+    assert!(matches!(verdicts[0], Verdict::MayHaveRun(_)), "answered {:?}", verdicts[0]);
 }
 
 #[test]
 fn the_only_target_of_a_service_is_tried_again() {
-    let mut node = started();
-    assert_eq!(call_that_breaks(&mut node, 1_000), []);
+    let mut node = started_node();
+    assert_eq!(start_read_that_breaks(&mut node, 1_000), []);
     let mut out = Vec::new();
     for step in 1..=10 {
         node.handle(2_000 + step * 10_000, NodeEvent::Tick, &mut out);
     }
-    assert!(run_attempt(&out).is_some(), "told {:?} instead", replies(&out));
+    assert!(run_attempt(&out).is_some(), "no retry; answered {:?}", replies(&out));
 }
 
-/// A VM that was replaced while it ran an attempt comes back at the same address, and its new node
-/// life truthfully says that it fenced an attempt it never saw.
+/// Guards against a false "not run": a VM is replaced while it runs an attempt, and the new node
+/// process at the same address correctly reports that it fenced an attempt it never received.
 #[test]
-fn the_word_of_another_node_life_is_not_taken() {
-    let mut node = started();
-    let attempt = call_that_runs(&mut node, 1_000);
+fn an_answer_of_another_process_at_the_same_address_is_ignored() {
+    let mut node = started_node();
+    let attempt = start_read(&mut node, 1_000);
     let fenced = AnswerFrame {
         attempt,
         node: NodeId(99),
@@ -174,30 +174,30 @@
 
 #[test]
 fn keys_that_callers_ask_for_have_the_long_lifetime() {
-    let mut node = started();
+    let mut node = started_node();
     for ticket in 1..=20 {
         let event = NodeEvent::MintKey { ticket: Ticket(ticket), service: SERVICE.to_owned() };
         let mut out = Vec::new();
         node.handle(1_000, event, &mut out);
-        let [Verdict::Answered(answer)] = &replies(&out)[..] else { panic!("no key: {out:?}") };
-        let body: serde_json::Value = serde_json::from_slice(&answer.body).expect("it is JSON");
-        let text = body["idempotency_key"].as_str().expect("there is a key");
-        let key: Key = text.parse().expect("it is a minted key");
+        let [Verdict::Answered(answer)] = &replies(&out)[..] else { panic!("no key in {out:?}") };
+        let body: serde_json::Value = serde_json::from_slice(&answer.body).expect("valid JSON");
+        let text = body["idempotency_key"].as_str().expect("the answer contains a key");
+        let key: Key = text.parse().expect("the key is a minted key");
         assert_eq!(key.lifetime(), KeyLifetime::Caller);
     }
 }
 
-/// Whether the target's time for a call that ends like this counts as wasted.
+/// Whether the target's run counts as wasted for a given outcome.
 fn is_wasted(outcome: TargetOutcome) -> bool {
-    let mut node = started();
-    let attempt = call_that_runs(&mut node, 1_000);
+    let mut node = started_node();
+    let attempt = start_read(&mut node, 1_000);
     let mut out = Vec::new();
     node.handle(2_000, NodeEvent::TargetEnded { attempt, outcome }, &mut out);
     let mut notes = out.iter().filter_map(|action| match action {
         NodeAction::Note(Note::TargetEnded { wasted, .. }) => Some(*wasted),
         _ => None,
     });
-    notes.next().expect("the end is noted")
+    notes.next().expect("a note of the target's end")
 }
 
 #[test]
@@ -207,7 +207,7 @@
         TargetOutcome::Answered(answer)
     };
     assert!(!is_wasted(answered(200)));
-    assert!(!is_wasted(answered(404)), "a client's error is an answer");
-    assert!(is_wasted(answered(503)), "a call further down was refused");
+    assert!(!is_wasted(answered(404)), "a client error is a healthy answer");
+    assert!(is_wasted(answered(503)), "a downstream call was refused");
     assert!(is_wasted(TargetOutcome::Broke));
 }
