--- a/examples/node_cost.rs
+++ b/examples/node_cost.rs
@@ -9,7 +9,7 @@
 use aspenspring::config::{self, Settings};
 use aspenspring::configuration::site_rules;
 use aspenspring::node::{
-    Announcement, Intake, Node, NodeAction, NodeEvent, NodeIdentity, TargetOutcome, Ticket,
+    Announcement, IncomingRequest, Node, NodeAction, NodeEvent, NodeIdentity, TargetOutcome, Ticket,
 };
 
 /// The number of measured calls.
@@ -105,7 +105,7 @@
                 self.node.handle(self.now_us, self.announcement(), &mut out);
             }
             self.tickets += 1;
-            let event = NodeEvent::CallerCall(self.intake(method, path));
+            let event = NodeEvent::CallerCall(self.incoming(method, path));
             self.node.handle(self.now_us, event, &mut out);
             answered += self.answer_all(&mut out);
         }
@@ -144,14 +144,14 @@
         })
     }
 
-    fn intake(&self, method: &str, path: &str) -> Intake {
+    fn incoming(&self, method: &str, path: &str) -> IncomingRequest {
         let request = HttpRequest {
             method: method.to_owned(),
             path: path.to_owned(),
             headers: vec![("accept".to_owned(), "application/json".to_owned())],
             body: bytes::Bytes::from_static(&[0; 256]),
         };
-        Intake {
+        IncomingRequest {
             ticket: Ticket(self.tickets),
             service: self.service.clone(),
             request,
--- a/src/duty/desk.rs
+++ b/src/duty/desk.rs
@@ -10,7 +10,7 @@
 use crate::duty::operator::{
     ConfigEntry, ConfigView, Health, LeaveReply, OperatorRequest, Submission, SubmitReply,
 };
-use crate::node::{Asker, Node, NodeEvent};
+use crate::node::{LeaveRequester, Node, NodeEvent};
 
 /// Answers operators, and keeps who waits for the outcome of a submission.
 #[derive(Debug, Default)]
@@ -51,7 +51,7 @@
             }
             OperatorRequest::Leave { reply } => {
                 let _ = reply.send(LeaveReply { in_flight: node.in_flight() });
-                Some(NodeEvent::Leave { asked_by: Asker::Operator })
+                Some(NodeEvent::Leave { asked_by: LeaveRequester::Operator })
             }
         }
     }
--- a/src/duty/http.rs
+++ b/src/duty/http.rs
@@ -11,7 +11,7 @@
 use rocket::route::{Handler, Outcome, Route};
 
 use crate::call::{HttpRequest, RefusalReason, TraceContext};
-use crate::node::{Asker, CallEnd, Intake, NodeEvent, Ticket, header};
+use crate::node::{CallEnd, IncomingRequest, LeaveRequester, NodeEvent, Ticket, header};
 
 use super::decider::DeciderHandle;
 use super::problem::Problem;
@@ -148,7 +148,9 @@
                     .map_err(|error| Problem::new(400, "Bad Request").detail(error.to_string()))?;
                 NodeEvent::TargetAnnounced(announcement)
             }
-            DRAIN_PATH if self.side == Side::Target => NodeEvent::Leave { asked_by: Asker::Target },
+            DRAIN_PATH if self.side == Side::Target => {
+                NodeEvent::Leave { asked_by: LeaveRequester::Target }
+            }
             _ => return Err(Problem::new(404, "Not Found")),
         };
         let taken = self.decider.offer(event);
@@ -170,7 +172,7 @@
         let side = self.side;
         let token = taken.token;
         self.ask(request, |ticket| {
-            let intake = Intake {
+            let incoming = IncomingRequest {
                 ticket,
                 service,
                 request: passed,
@@ -179,8 +181,8 @@
                 trace: taken.trace,
             };
             match side {
-                Side::Caller => NodeEvent::CallerCall(intake),
-                Side::Target => NodeEvent::TargetCall { intake, token },
+                Side::Caller => NodeEvent::CallerCall(incoming),
+                Side::Target => NodeEvent::TargetCall { incoming, token },
             }
         })
         .await
--- a/src/duty/launch.rs
+++ b/src/duty/launch.rs
@@ -16,7 +16,7 @@
 use crate::config::{NodeSettings, Settings};
 use crate::event::{EventLog, LogEvent};
 use crate::logging::Logging;
-use crate::node::{Asker, Node, NodeEvent, NodeIdentity};
+use crate::node::{LeaveRequester, Node, NodeEvent, NodeIdentity};
 use crate::replay::{self, Header};
 use crate::telemetry::metrics::{LabelNames, Metrics};
 use crate::telemetry::trace::{SpanSink, TraceDuty, TraceOptions};
@@ -304,8 +304,12 @@
         let mut interrupt = signal(SignalKind::interrupt())?;
         while !thread.is_finished() {
             tokio::select! {
-                _ = terminate.recv() => { decider.tell(NodeEvent::Leave { asked_by: Asker::Signal }); }
-                _ = interrupt.recv() => { decider.tell(NodeEvent::Leave { asked_by: Asker::Signal }); }
+                _ = terminate.recv() => {
+                    decider.tell(NodeEvent::Leave { asked_by: LeaveRequester::Signal });
+                }
+                _ = interrupt.recv() => {
+                    decider.tell(NodeEvent::Leave { asked_by: LeaveRequester::Signal });
+                }
                 () = tokio::time::sleep(WATCH_EVERY) => {}
             }
         }
--- a/src/duty/recorder.rs
+++ b/src/duty/recorder.rs
@@ -122,8 +122,8 @@
 /// The bytes of an event's body, which the event keeps in memory while it waits.
 fn body_bytes(event: &NodeEvent) -> usize {
     match event {
-        NodeEvent::CallerCall(intake) | NodeEvent::TargetCall { intake, .. } => {
-            intake.request.body.len()
+        NodeEvent::CallerCall(incoming) | NodeEvent::TargetCall { incoming, .. } => {
+            incoming.request.body.len()
         }
         NodeEvent::PeerRequest { message, .. }
         | NodeEvent::PeerReply { message, .. }
--- a/src/node/cluster.rs
+++ b/src/node/cluster.rs
@@ -20,7 +20,7 @@
 };
 use crate::routing::Peer;
 
-use super::event::{Asker, NodeAction};
+use super::event::{LeaveRequester, NodeAction};
 use super::note::Note;
 use super::platform::StoreRequestPurpose;
 use super::{Node, NodeIdentity};
@@ -254,7 +254,7 @@
                 self.notify_configuration(now_us, ConfigurationEvent::PeerHas(event), out);
             }
             MembershipAction::Superseded { .. } => {
-                self.start_leaving(now_us, Asker::Successor, out);
+                self.start_leaving(now_us, LeaveRequester::Successor, out);
             }
             MembershipAction::WriteRow { member, expected } => {
                 self.write_member(&member, expected, out);
--- a/src/node/event.rs
+++ b/src/node/event.rs
@@ -26,7 +26,7 @@
 
 /// A request received by one of the node's own listeners.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Intake {
+pub struct IncomingRequest {
     /// Identifies the request until it is answered.
     pub ticket: Ticket,
     /// The service it is for.
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum NodeEvent {
     /// A request of an outside caller.
-    CallerCall(Intake),
+    CallerCall(IncomingRequest),
     /// An outside caller requests an idempotency key for a later request to a service.
     MintKey {
         /// Identifies the request until it is answered.
@@ -80,7 +80,8 @@
     /// A request of the local target, on behalf of the call identified by `token`.
     TargetCall {
         /// The request.
-        intake: Intake,
+        #[serde(rename = "intake")]
+        incoming: IncomingRequest,
         /// The value of the `aspenspring-call` header, if present.
         token: Option<String>,
     },
@@ -125,7 +126,7 @@
     /// The node is to leave.
     Leave {
         /// What requested it.
-        asked_by: Asker,
+        asked_by: LeaveRequester,
     },
     /// An operator submitted a configuration.
     Submit(Submit),
@@ -137,7 +138,7 @@
 
 /// What requested that a node leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Asker {
+pub enum LeaveRequester {
     /// A signal to the process.
     Signal,
     /// An operator.
@@ -148,7 +149,7 @@
     Successor,
 }
 
-impl Asker {
+impl LeaveRequester {
     /// The name in logs.
     pub fn name(self) -> &'static str {
         match self {
--- a/src/node/ingress.rs
+++ b/src/node/ingress.rs
@@ -12,7 +12,7 @@
 use crate::routing::PickRequest;
 use crate::telemetry::trace::is_sampled;
 
-use super::event::{CallEnd, Intake, NodeAction, Ticket};
+use super::event::{CallEnd, IncomingRequest, NodeAction, Ticket};
 use super::hop::{Hop, HopId, HopKey, HopState};
 use super::{Node, TimerKind};
 
@@ -26,11 +26,11 @@
     pub(super) fn on_caller_call(
         &mut self,
         now_us: u64,
-        intake: Intake,
+        incoming: IncomingRequest,
         out: &mut Vec<NodeAction>,
     ) {
         let root = RootId(self.rng.random());
-        let hop = match self.caller_hop(now_us, intake, root) {
+        let hop = match self.caller_hop(now_us, incoming, root) {
             Ok(hop) => hop,
             Err((ticket, verdict)) => {
                 self.reply_without_hop(ticket, root, verdict, out);
@@ -50,16 +50,16 @@
     pub(super) fn on_target_call(
         &mut self,
         now_us: u64,
-        intake: Intake,
+        incoming: IncomingRequest,
         token: Option<&str>,
         out: &mut Vec<NodeAction>,
     ) {
         let parent = token.and_then(|token| self.tokens.get(token)).copied();
         let result = match parent {
-            Some(parent) => self.child_hop(now_us, intake, parent),
+            Some(parent) => self.child_hop(now_us, incoming, parent),
             None => {
                 let root = RootId(self.rng.random());
-                self.caller_hop(now_us, intake, root).map(|hop| Hop {
+                self.caller_hop(now_us, incoming, root).map(|hop| Hop {
                     entry: None,
                     entry_address: None,
                     outside: false,
@@ -114,10 +114,10 @@
     fn caller_hop(
         &mut self,
         now_us: u64,
-        intake: Intake,
+        incoming: IncomingRequest,
         root: RootId,
     ) -> Result<Hop, (Ticket, Verdict)> {
-        let ticket = intake.ticket;
+        let ticket = incoming.ticket;
         let refuse = |reason, retry_after_ms| (ticket, Verdict::not_run(reason, retry_after_ms));
         if !self.cluster.is_ready() {
             return Err(refuse(RefusalReason::NotReady, NOT_READY_RETRY_MS));
@@ -126,15 +126,16 @@
             return Err(refuse(RefusalReason::Leaving, 0));
         }
         let rules = self.rules.clone();
-        let found = rules.class_for(&intake.service, &intake.request.method, &intake.request.path);
+        let found =
+            rules.class_for(&incoming.service, &incoming.request.method, &incoming.request.path);
         let Some(class) = found else { return Err(refuse(RefusalReason::Malformed, 0)) };
-        let key = match hop_key_of(class.at_most_once, intake.key.as_deref()) {
+        let key = match hop_key_of(class.at_most_once, incoming.key.as_deref()) {
             Ok(key) => key,
             Err(()) => return Err(refuse(RefusalReason::KeyInvalid, 0)),
         };
         let arm = ArmId(rules.arm_for(root).id);
         let rank = ClassRank(class.rank);
-        let caller_span_id = intake.trace.map_or(0, |trace| trace.parent_span_id);
+        let caller_span_id = incoming.trace.map_or(0, |trace| trace.parent_span_id);
         Ok(Hop {
             ticket,
             parent: None,
@@ -146,14 +147,14 @@
             level: Level::new(rank, root),
             arm,
             depth: 0,
-            trace: self.root_trace(root, intake.trace),
+            trace: self.root_trace(root, incoming.trace),
             caller_span_id,
             outside: true,
-            service: intake.service,
-            request: intake.request,
+            service: incoming.service,
+            request: incoming.request,
             key,
             started_us: now_us,
-            deadline_us: now_us + deadline_ms(class, intake.deadline_ms) * US_PER_MS,
+            deadline_us: now_us + deadline_ms(class, incoming.deadline_ms) * US_PER_MS,
             retries: 0,
             tried: Vec::new(),
             history: AttemptHistory::default(),
@@ -165,22 +166,22 @@
     fn child_hop(
         &mut self,
         now_us: u64,
-        intake: Intake,
+        incoming: IncomingRequest,
         parent: AttemptId,
     ) -> Result<Hop, (Ticket, Verdict)> {
-        let ticket = intake.ticket;
+        let ticket = incoming.ticket;
         let refuse = |reason| (ticket, Verdict::not_run(reason, 0));
         let Some(parent_inbound) = self.inbound.get(&parent) else {
             return Err(refuse(RefusalReason::Cancelled));
         };
-        if self.rules.service(&intake.service).is_none() {
+        if self.rules.service(&incoming.service).is_none() {
             return Err(refuse(RefusalReason::Malformed));
         }
         let frame = &parent_inbound.frame;
         let class = self.rules.class_of_rank(frame.class);
         let runs_once = frame.key.is_some() || class.is_some_and(|class| class.at_most_once);
-        let at_most_once = runs_once && !SAFE_METHODS.contains(&intake.request.method.as_str());
-        let asked_us = intake.deadline_ms.map_or(u64::MAX, |ms| ms.saturating_mul(US_PER_MS));
+        let at_most_once = runs_once && !SAFE_METHODS.contains(&incoming.request.method.as_str());
+        let asked_us = incoming.deadline_ms.map_or(u64::MAX, |ms| ms.saturating_mul(US_PER_MS));
         let trace = TraceContext { parent_span_id: self.rng.random(), ..frame.trace };
         Ok(Hop {
             ticket,
@@ -196,8 +197,8 @@
             trace,
             caller_span_id: parent_inbound.span_id,
             outside: false,
-            service: intake.service,
-            request: intake.request,
+            service: incoming.service,
+            request: incoming.request,
             key: if at_most_once { HopKey::PerAttempt } else { HopKey::None },
             started_us: now_us,
             deadline_us: parent_inbound.deadline_us.min(now_us.saturating_add(asked_us)),
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -39,8 +39,8 @@
 use crate::routing::Router;
 
 pub use event::{
-    Announcement, Asker, CallEnd, Intake, NodeAction, NodeEvent, ReplyPath, TargetCall,
-    TargetOutcome, Ticket,
+    Announcement, CallEnd, IncomingRequest, LeaveRequester, NodeAction, NodeEvent, ReplyPath,
+    TargetCall, TargetOutcome, Ticket,
 };
 pub use hop::{Hop, HopId, HopKey, HopState};
 pub use inbound::{Inbound, Stage};
@@ -213,13 +213,13 @@
     /// Passes an event to its handler.
     fn dispatch(&mut self, now_us: u64, event: NodeEvent, out: &mut Vec<NodeAction>) {
         match event {
-            NodeEvent::CallerCall(intake) => self.on_caller_call(now_us, intake, out),
+            NodeEvent::CallerCall(incoming) => self.on_caller_call(now_us, incoming, out),
             NodeEvent::MintKey { ticket, service } => {
                 self.mint_key_for_caller(now_us, ticket, &service, out);
             }
             NodeEvent::CallerGone { ticket } => self.on_caller_gone(now_us, ticket, out),
-            NodeEvent::TargetCall { intake, token } => {
-                self.on_target_call(now_us, intake, token.as_deref(), out);
+            NodeEvent::TargetCall { incoming, token } => {
+                self.on_target_call(now_us, incoming, token.as_deref(), out);
             }
             NodeEvent::PeerRequest { path, message } => {
                 self.on_peer_request(now_us, ReplyPath::Peer(path), message, out);
--- a/src/node/receiving.rs
+++ b/src/node/receiving.rs
@@ -8,7 +8,9 @@
 use crate::event::LogEvent;
 use crate::once::{Arrival, FenceReply, Fingerprint, Offer, ReturnPath as BookReturnPath};
 
-use super::event::{Announcement, Asker, NodeAction, ReplyPath, TargetCall, TargetOutcome};
+use super::event::{
+    Announcement, LeaveRequester, NodeAction, ReplyPath, TargetCall, TargetOutcome,
+};
 use super::inbound::{Inbound, Stage};
 use super::note::Note;
 use super::{AnnouncedTarget, Node, TimerKind};
@@ -394,7 +396,7 @@
     pub(super) fn start_leaving(
         &mut self,
         now_us: u64,
-        asked_by: Asker,
+        asked_by: LeaveRequester,
         out: &mut Vec<NodeAction>,
     ) {
         if self.stop_after_us.is_some() {
--- a/src/replay/tally.rs
+++ b/src/replay/tally.rs
@@ -158,8 +158,8 @@
         self.report.duration_us = at_us - self.started_us;
         self.digest.update(at_us.to_be_bytes());
         match event {
-            NodeEvent::CallerCall(intake) => self.open(intake.ticket, Side::Caller),
-            NodeEvent::TargetCall { intake, .. } => self.open(intake.ticket, Side::Target),
+            NodeEvent::CallerCall(incoming) => self.open(incoming.ticket, Side::Caller),
+            NodeEvent::TargetCall { incoming, .. } => self.open(incoming.ticket, Side::Target),
             NodeEvent::MintKey { ticket, .. } => self.open(*ticket, Side::Key),
             NodeEvent::PeerRequest { message: Message::AskRetry { root, failed }, .. } => {
                 self.sight.asked(*failed, *root);
--- a/tests/node_retry.rs
+++ b/tests/node_retry.rs
@@ -9,8 +9,8 @@
 use aspenspring::config::Settings;
 use aspenspring::duty::store::{StoreEvent, StoreOperation, StoreOutcome};
 use aspenspring::node::{
-    Announcement, Asker, Intake, Node, NodeAction, NodeEvent, NodeIdentity, Note, TargetOutcome,
-    Ticket,
+    Announcement, IncomingRequest, LeaveRequester, Node, NodeAction, NodeEvent, NodeIdentity, Note,
+    TargetOutcome, Ticket,
 };
 
 const SERVICE: &str = "souq-stock";
@@ -81,7 +81,7 @@
         headers: Vec::new(),
         body: Default::default(),
     };
-    let intake = Intake {
+    let incoming = IncomingRequest {
         ticket: Ticket(1),
         service: SERVICE.to_owned(),
         request,
@@ -90,7 +90,7 @@
         trace: None,
     };
     let mut out = Vec::new();
-    node.handle(now_us, NodeEvent::CallerCall(intake), &mut out);
+    node.handle(now_us, NodeEvent::CallerCall(incoming), &mut out);
     run_attempt(&out).unwrap_or_else(|| panic!("no attempt reached the target: {out:?}"))
 }
 
@@ -126,7 +126,7 @@
     let verdicts = start_read_that_breaks(&mut node, 1_000);
     assert_eq!(verdicts, [], "the retry is granted and backing off");
     let mut out = Vec::new();
-    node.handle(2_500, NodeEvent::Leave { asked_by: Asker::Operator }, &mut out);
+    node.handle(2_500, NodeEvent::Leave { asked_by: LeaveRequester::Operator }, &mut out);
     for step in 1..=300 {
         node.handle(2_500 + step * 10_000, NodeEvent::Tick, &mut out);
     }
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -5,7 +5,7 @@
 
 use aspenspring::call::HttpRequest;
 use aspenspring::duty::recorder::{self, BODIES_MAX_BYTES};
-use aspenspring::node::{Intake, NodeEvent, Ticket};
+use aspenspring::node::{IncomingRequest, NodeEvent, Ticket};
 use aspenspring::replay::{Expectations, Header, TraceError, TraceReader, replay};
 
 const TRACE: &str = "tests/traces/node/jordan-healthy.jsonl";
@@ -32,7 +32,7 @@
         headers: Vec::new(),
         body: vec![0xff; body_bytes].into(),
     };
-    NodeEvent::CallerCall(Intake {
+    NodeEvent::CallerCall(IncomingRequest {
         ticket: Ticket(1),
         service: "souq-orders".to_owned(),
         request,
@@ -52,10 +52,10 @@
     duty.stop().expect("all is written");
     let text = std::fs::read_to_string(&path).expect("the recording");
     let (_, mut events) = TraceReader::open(&text).expect("a header");
-    let Ok(Some((read_us, NodeEvent::CallerCall(intake)))) = events.next_event() else {
+    let Ok(Some((read_us, NodeEvent::CallerCall(incoming)))) = events.next_event() else {
         panic!("no call in {text}");
     };
-    assert_eq!((read_us, &intake.request.body[..]), (at_us, &[0xff; 3][..]));
+    assert_eq!((read_us, &incoming.request.body[..]), (at_us, &[0xff; 3][..]));
     assert!(matches!(events.next_event(), Ok(None)));
     assert!(recorder::start(&path, &header()).is_err(), "a recording was written over");
 }
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -14,7 +14,7 @@
 use aspenspring::configuration::site_rules;
 use aspenspring::duty::peer::ReturnPath;
 use aspenspring::node::{
-    Asker, CallEnd, Intake, Node, NodeAction, NodeEvent, NodeIdentity, Ticket,
+    CallEnd, IncomingRequest, LeaveRequester, Node, NodeAction, NodeEvent, NodeIdentity, Ticket,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -200,7 +200,7 @@
 
     /// Asks a node to leave.
     pub fn leave(&mut self, index: usize) {
-        self.schedule(index, self.now_us, NodeEvent::Leave { asked_by: Asker::Signal });
+        self.schedule(index, self.now_us, NodeEvent::Leave { asked_by: LeaveRequester::Signal });
         self.hosts[index].is_leaving = true;
     }
 
@@ -238,7 +238,7 @@
             headers: Vec::new(),
             body: bytes::Bytes::new(),
         };
-        let intake = Intake {
+        let incoming = IncomingRequest {
             ticket: Ticket(id as u64),
             service: self.hosts[host].service.to_owned(),
             request,
@@ -259,7 +259,7 @@
             deadline_us,
             end: None,
         });
-        self.schedule(host, self.now_us, NodeEvent::CallerCall(intake));
+        self.schedule(host, self.now_us, NodeEvent::CallerCall(incoming));
     }
 
     /// Disconnects the caller of the last call.
--- a/tests/site/target.rs
+++ b/tests/site/target.rs
@@ -4,7 +4,7 @@
 
 use aspenspring::call::{AttemptId, HttpAnswer, Verdict};
 use aspenspring::node::{
-    Announcement, CallEnd, Intake, NodeEvent, TargetCall, TargetOutcome, Ticket,
+    Announcement, CallEnd, IncomingRequest, NodeEvent, TargetCall, TargetOutcome, Ticket,
 };
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -71,7 +71,7 @@
         self.tickets += 1;
         let ticket = Ticket(CHILD_TICKETS + self.tickets);
         self.children.insert(ticket, attempt);
-        let intake = Intake {
+        let incoming = IncomingRequest {
             ticket,
             service: service.to_owned(),
             request: call.request.clone(),
@@ -79,7 +79,7 @@
             key: None,
             trace: None,
         };
-        NodeEvent::TargetCall { intake, token: Some(call.token.clone()) }
+        NodeEvent::TargetCall { incoming, token: Some(call.token.clone()) }
     }
 
     /// Handles the result of a target's call.
