--- a/src/mesh/callers.rs
+++ b/src/mesh/callers.rs
@@ -9,10 +9,10 @@
 use super::frame::{Frame, Status};
 use super::link::Link;
 use super::overload::Policy;
-use super::report::{LoadReport, PAUSE_BUSY};
+use super::report::{INTERVAL_BUSY, LoadReport};
 
 /// The least pause between two reports of the whole state, unless the target comes or goes.
-const STATUS_PAUSE: Duration = PAUSE_BUSY;
+const STATUS_PAUSE: Duration = INTERVAL_BUSY;
 
 /// A link on which another node calls this one.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
     /// are the numbers of targets of the service in the own failure domain and altogether.
     pub fn tell_what_is_due(&self, status: &Status, near: usize, all: usize) {
         if self.is_status_due(status) {
-            self.tell_status(status);
+            self.broadcast_status(status);
             return;
         }
         let now = Instant::now();
@@ -89,7 +89,7 @@
     }
 
     /// Tells all the whole state of the node.
-    pub fn tell_status(&self, status: &Status) {
+    pub fn broadcast_status(&self, status: &Status) {
         self.told_status_at.set(Some(Instant::now()));
         self.told_status.replace(status.clone());
         let frame = Frame::Status(status.clone());
--- a/src/mesh/ingress.rs
+++ b/src/mesh/ingress.rs
@@ -21,13 +21,13 @@
 use super::ancestry::Origin;
 use super::frame::{Doubt, Header, NotRun, TargetAnswer};
 use super::linger::{LingeringStream, PeerWatch};
-use super::node::{Counted, Node};
+use super::node::{CountGuard, Node};
 use super::overload::Admitted;
 use super::peers::pause_after;
 use super::sender::{self, Outcome, Request};
 use super::site::{Route, Site};
-use super::teams::admission::{self, Holder, NoHolder, OverQuota};
-use super::trail::{Answering, Ended, Trail, note_end};
+use super::teams::admission::{self, Identity, OverQuota, Unauthenticated};
+use super::trail::{Answering, EndedRequest, Trail, record_end};
 
 /// How much memory request bodies may take, as a share of what the node may use.
 const BODIES_SHARE: f64 = 0.25;
@@ -155,7 +155,7 @@
     let Some(route) = site.route(host, parts.uri.path()) else {
         return plain(StatusCode::NOT_FOUND);
     };
-    let attempt_id = header_text(&parts.headers, &node.vocabulary.attempt_id);
+    let attempt_id = header_text(&parts.headers, &node.header_names.attempt_id);
     let parent = node.ancestry.parent(attempt_id);
     let root = parent.as_ref().map_or(&route.name, |parent| &parent.root).clone();
     let answering = Answering::new(node, caller, attempt_id, &root, arrived);
@@ -168,12 +168,12 @@
         Err(Refused { outcome, trail }) => {
             let response = response_to(&outcome);
             let status = response.status().as_u16();
-            let ended = Ended { attempt_id, route: &route, root: &root, arrived, status };
-            note_end(node, &ended, &outcome, &trail);
+            let ended = EndedRequest { attempt_id, route: &route, root: &root, arrived, status };
+            record_end(node, &ended, &outcome, &trail);
             return response;
         }
     };
-    let caller_ms = header_number(&parts.headers, &node.vocabulary.deadline_ms);
+    let caller_ms = header_number(&parts.headers, &node.header_names.deadline_ms);
     let wait_ms = caller_ms.map_or(route.timeout_ms, |caller_ms| caller_ms.min(route.timeout_ms));
     let deadline = arrived + Duration::from_millis(wait_ms);
     let deadline = parent.as_ref().map_or(deadline, |parent| parent.deadline.min(deadline));
@@ -181,7 +181,7 @@
         Ok(body) => body,
         Err(response) => return response,
     };
-    let _held = Counted::new(&node.held_bytes, body.len());
+    let _held = CountGuard::new(&node.held_bytes, body.len());
     let request = Request {
         attempt_id: attempt_id.to_owned(),
         method: parts.method.to_string(),
@@ -197,18 +197,18 @@
     let (outcome, mut trail) = send(node, &route, &request, parent.as_ref()).await;
     trail.team = Rc::clone(&request.team);
     if parent.is_none() && matches!(outcome, Outcome::NotRun { .. }) {
-        admission::give_back(node, &request.team);
+        admission::refund_token(node, &request.team);
     }
     if let Some(parent) = parent.filter(|_| !outcome.went_well()) {
         parent.has_failed_below.set(true);
     }
     let mut response = response_to(&outcome);
     if let (Outcome::Answered(_), Ok(id)) = (&outcome, HeaderValue::from_str(attempt_id)) {
-        response.headers_mut().insert(node.vocabulary.attempt_id.clone(), id);
+        response.headers_mut().insert(node.header_names.attempt_id.clone(), id);
     }
     let status = response.status().as_u16();
-    let ended = Ended { attempt_id, route: &route, root: &request.root, arrived, status };
-    note_end(node, &ended, &outcome, &trail);
+    let ended = EndedRequest { attempt_id, route: &route, root: &request.root, arrived, status };
+    record_end(node, &ended, &outcome, &trail);
     answering.finish();
     response
 }
@@ -261,9 +261,9 @@
     }
 
     fn over_quota(over: OverQuota, team: &Rc<str>) -> Self {
-        let come_back_ms = (over.come_back.as_millis() as u64).max(RETRY_AFTER_QUOTA_MIN_MS);
+        let come_back_ms = (over.retry_after.as_millis() as u64).max(RETRY_AFTER_QUOTA_MIN_MS);
         let mut refused = Self::new(NotRun::OverQuota, come_back_ms, team);
-        refused.trail.quota = Some(over.known);
+        refused.trail.quota = Some(over.state);
         refused
     }
 }
@@ -277,19 +277,19 @@
     attempt_id: &str,
 ) -> Result<Entered, Refused> {
     let nobody: Rc<str> = Rc::default();
-    let holder = admission::holder(site, route, headers, &node.vocabulary.api_key);
+    let holder = admission::authenticate(site, route, headers, &node.header_names.api_key);
     let is_orphan = match &holder {
-        Ok(Holder::Team(_)) => false,
-        Ok(Holder::Anyone) => node.ancestry.was_withdrawn(attempt_id),
-        Err(NoHolder) => node.ancestry.is_orphan(attempt_id),
+        Ok(Identity::Team(_)) => false,
+        Ok(Identity::Anonymous) => node.ancestry.was_withdrawn(attempt_id),
+        Err(Unauthenticated) => node.ancestry.is_orphan(attempt_id),
     };
     if is_orphan {
         return Err(Refused::new(NotRun::Orphaned, RETRY_AFTER_ORPHANED_MS, &nobody));
     }
     let Ok(holder) = holder else { return Err(Refused::new(NotRun::NoKey, 0, &nobody)) };
     let (team, rank) = match &holder {
-        Holder::Team(team) => (&team.name, site.rank(route, Some(team))),
-        Holder::Anyone => (&nobody, site.rank(route, None)),
+        Identity::Team(team) => (&team.name, site.rank(route, Some(team))),
+        Identity::Anonymous => (&nobody, site.rank(route, None)),
     };
     if node.is_closing() {
         return Err(Refused::new(NotRun::Closing, RETRY_AFTER_CLOSING_MS, team));
@@ -299,7 +299,7 @@
     if admitted.is_none() {
         return Err(Refused::new(NotRun::Shed, come_back_ms(node, route), team));
     }
-    if let Holder::Team(team) = &holder {
+    if let Identity::Team(team) = &holder {
         admission::admit(node, team).await.map_err(|over| Refused::over_quota(over, &team.name))?;
     }
     Ok(Entered { team: Rc::clone(team), rank, _admitted: admitted })
@@ -381,23 +381,23 @@
 
 /// The headers that travel on. The id of the attempt travels by itself.
 fn request_headers(node: &Node, headers: &HeaderMap) -> Vec<Header> {
-    let vocabulary = &node.vocabulary;
+    let header_names = &node.header_names;
     let named = named_by_connection(headers);
     let mut found = Vec::with_capacity(headers.len());
     for (name, value) in headers {
-        let is_replaced = *name == vocabulary.attempt_id
-            || *name == vocabulary.deadline_ms
-            || *name == vocabulary.expected_instance
-            || *name == vocabulary.calling_service
-            || *name == vocabulary.api_key
-            || *name == vocabulary.team;
+        let is_replaced = *name == header_names.attempt_id
+            || *name == header_names.deadline_ms
+            || *name == header_names.expected_instance
+            || *name == header_names.calling_service
+            || *name == header_names.api_key
+            || *name == header_names.team;
         if is_replaced || is_of_connection(name) || named.contains(name) {
             continue;
         }
         found.push(Header::new(name.as_str(), value.as_bytes()));
     }
     let calling = node.own_service();
-    found.push(Header::new(vocabulary.calling_service.as_str(), calling.as_bytes()));
+    found.push(Header::new(header_names.calling_service.as_str(), calling.as_bytes()));
     found
 }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -34,7 +34,7 @@
 use crate::config::{RetryRule, Rules, Settings};
 use crate::configuration::BuildRules;
 use crate::event::LogEvent;
-use crate::once::{AttemptBook, Ledger};
+use crate::once::{AttemptTable, Ledger};
 use crate::retry::{RetryBudget, RootAllowances};
 use crate::routing::Router;
 
@@ -85,7 +85,7 @@
     /// The idempotency keys owned by this node, with the results of their runs.
     ledger: Ledger,
     /// The verdicts of attempts received.
-    attempt_book: AttemptBook,
+    attempt_table: AttemptTable,
     /// Membership and the configuration in force.
     cluster: Cluster,
     /// Requests being forwarded.
@@ -156,7 +156,7 @@
             allowances: RootAllowances::new(),
             budgets: HashMap::new(),
             ledger: settling::new_ledger(identity.id),
-            attempt_book: settling::new_attempt_book(),
+            attempt_table: settling::new_attempt_table(),
             cluster: Cluster::new(now_us, &identity, &settings, build),
             hops: HashMap::new(),
             outstanding: HashMap::new(),
@@ -273,7 +273,7 @@
         self.expire_target(now_us, out);
         self.tick_cluster(now_us, out);
         self.allowances.expire(now_us);
-        self.attempt_book.expire(now_us);
+        self.attempt_table.expire(now_us);
         self.ledger.expire(self.unix_ms(now_us));
     }
 
@@ -311,7 +311,7 @@
         match message {
             Message::Call(call) => self.local.push_back(LocalFrame::Call(call)),
             Message::Cancel(attempt) => self.local.push_back(LocalFrame::Cancel(attempt)),
-            // No other message is addressed to this node itself: its allowances and attempt book are
+            // No other message is addressed to this node itself: its allowances and attempt table are
             // read directly, and there is no connection to lose.
             _ => {}
         }
--- a/src/node/receiving.rs
+++ b/src/node/receiving.rs
@@ -19,7 +19,7 @@
 const TARGET_SILENCE_MAX_US: u64 = 10 * US_PER_S;
 /// The retry-after sent while the node has no usable target, in milliseconds.
 const NO_TARGET_RETRY_MS: u32 = 1_000;
-/// A placeholder for the attempt book. The node tracks return paths itself, because a reply may go
+/// A placeholder for the attempt table. The node tracks return paths itself, because a reply may go
 /// to the node itself.
 const NO_RETURN_PATH: BookReturnPath = BookReturnPath(0);
 /// The maximum depth of a call chain; a deeper one is treated as a loop.
@@ -66,7 +66,7 @@
     ) {
         let attempt = frame.attempt;
         let deadline_us = now_us.saturating_add(frame.remaining_us);
-        match self.attempt_book.arrive(now_us, attempt, deadline_us, NO_RETURN_PATH) {
+        match self.attempt_table.arrive(now_us, attempt, deadline_us, NO_RETURN_PATH) {
             Arrival::New => {}
             Arrival::Repeat(verdict) => {
                 self.answer(now_us, path, &frame, verdict, out);
@@ -318,7 +318,7 @@
         out: &mut Vec<NodeAction>,
     ) {
         let until_us = now_us.saturating_add(remaining_us);
-        let verdict = match self.attempt_book.fence(now_us, attempt, until_us, NO_RETURN_PATH) {
+        let verdict = match self.attempt_table.fence(now_us, attempt, until_us, NO_RETURN_PATH) {
             FenceReply::Settled(verdict) => verdict,
             FenceReply::NowFenced => Verdict::not_run(RefusalReason::Fenced, 0),
             FenceReply::InProgress => {
--- a/src/node/settling.rs
+++ b/src/node/settling.rs
@@ -4,7 +4,7 @@
     AnswerFrame, ArmId, AttemptId, CallFrame, ClassRank, LoadReport, Message, NodeId, Verdict,
 };
 use crate::clock::US_PER_S;
-use crate::once::{AttemptBook, AttemptBookOptions, Ledger, LedgerOptions};
+use crate::once::{AttemptTable, AttemptTableOptions, Ledger, LedgerOptions};
 
 use super::Node;
 use super::event::{NodeAction, ReplyPath};
@@ -20,9 +20,9 @@
     Ledger::new(owner, LedgerOptions::builder().build())
 }
 
-/// Creates the attempt book of a new node.
-pub(super) fn new_attempt_book() -> AttemptBook {
-    AttemptBook::new(AttemptBookOptions::builder().margin_us(VERDICT_RETENTION_US).build())
+/// Creates the attempt table of a new node.
+pub(super) fn new_attempt_table() -> AttemptTable {
+    AttemptTable::new(AttemptTableOptions::builder().retention_us(VERDICT_RETENTION_US).build())
 }
 
 impl Node {
@@ -42,7 +42,7 @@
         self.emit_inbound_span(now_us, inbound, &verdict, out);
         let Some(inbound) = self.inbound.get_mut(&attempt) else { return };
         inbound.settled = true;
-        self.attempt_book.settle(now_us, attempt, &verdict);
+        self.attempt_table.settle(now_us, attempt, &verdict);
         out.push(NodeAction::Note(Note::ReceivedEnded {
             class: inbound.frame.class,
             arm: inbound.frame.arm,
--- a/tests/emulator/mod.rs
+++ b/tests/emulator/mod.rs
@@ -13,7 +13,7 @@
 use aspenspring::mesh::directory::busy_share;
 use aspenspring::mesh::frame::Load;
 use aspenspring::mesh::gate::Gate;
-use aspenspring::mesh::overload::{ADJUST_EVERY, Overload, Policy, ServiceView};
+use aspenspring::mesh::overload::{ADJUST_INTERVAL, Overload, Policy, ServiceView};
 use aspenspring::mesh::site::{Route, RouteKind, Share};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -100,7 +100,7 @@
     pub runs: u64,
     /// Runs of call trees that failed.
     pub wasted_runs: u64,
-    /// The work of the busiest service as a share of its slots, sampled each `ADJUST_EVERY`.
+    /// The work of the busiest service as a share of its slots, sampled each `ADJUST_INTERVAL`.
     pub work: Vec<f64>,
 }
 
@@ -128,7 +128,7 @@
 
     /// The mean and the standard deviation of the busiest service's work between two times in seconds.
     pub fn work_mean_and_deviation(&self, from_s: f64, to_s: f64) -> (f64, f64) {
-        let index = |at_s: f64| (at_s / ADJUST_EVERY.as_secs_f64()) as usize;
+        let index = |at_s: f64| (at_s / ADJUST_INTERVAL.as_secs_f64()) as usize;
         let work = &self.work[index(from_s)..index(to_s).min(self.work.len())];
         let count = work.len().max(1) as f64;
         let mean = work.iter().sum::<f64>() / count;
@@ -326,7 +326,7 @@
 async fn adjust_admission(simulation: Rc<Simulation>) {
     let rank_max = simulation.scenario.kinds.iter().map(|kind| kind.rank).max().unwrap_or(0);
     loop {
-        sleep(ADJUST_EVERY).await;
+        sleep(ADJUST_INTERVAL).await;
         let mut busiest: f64 = 0.0;
         for view in simulation.views().values() {
             let work = f64::from(view.load.running + view.load.waiting);
--- a/tests/mesh/stop.rs
+++ b/tests/mesh/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nothing off.
+//! A planned stop cuts off no request that was accepted.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use tokio::time::sleep;
 
 use super::support::{
-    GRACE_MS, Reaction, acquaint, ask, connect, header, read_message, request, run, start, status,
+    GRACE_MS, Reaction, ask, connect, header, link_nodes, read_message, request, run, start, status,
 };
 
 #[test]
@@ -19,7 +19,7 @@
             sleep(Duration::from_millis(5)).await;
         }
         entry.node.stop();
-        // Long enough that not all of it is read before the connection is closed.
+        // Large enough that a part is still unread when the connection is closed.
         let behind = format!(
             "GET /read/2 HTTP/1.1\r\nhost: shop.test\r\nx-attempt: a2\r\nx-pad: {}\r\n\r\n",
             "x".repeat(3_000)
@@ -33,8 +33,8 @@
         assert_eq!(header(&answer, "connection").as_deref(), Some("close"));
         let mut rest = [0; 1];
         let closed = caller.read(&mut rest).await;
-        assert_eq!(closed.expect("closed behind the answer, and not reset"), 0);
-        assert_eq!(entry.target.arrivals(), 1, "nothing behind it was passed on");
+        assert_eq!(closed.expect("closed after the answer, not reset"), 0);
+        assert_eq!(entry.target.arrivals(), 1, "no pipelined request was forwarded");
     });
 }
 
@@ -60,10 +60,14 @@
         let entry = start("page-1", "page", vec![Reaction::Answer(200, 0)]).await;
         let reactions = vec![Reaction::Answer(200, 0), Reaction::Answer(200, 600)];
         let leaving = start("stock-1", "stock", reactions).await;
-        acquaint(&entry, &leaving).await;
+        link_nodes(&entry, &leaving).await;
         leaving.node.stop();
         assert!(!leaving.node.is_ready());
-        assert_eq!(status(&ask(&entry, &request("book", "a1")).await), 200, "its target is there");
+        assert_eq!(
+            status(&ask(&entry, &request("book", "a1")).await),
+            200,
+            "its target still accepts calls"
+        );
         sleep(Duration::from_millis(GRACE_MS / 3 - 300)).await;
         let mut caller = connect(&entry).await;
         caller.write_all(request("book", "a2").as_bytes()).await.unwrap();
@@ -87,7 +91,7 @@
     run(async {
         let entry = start("page-1", "page", vec![Reaction::Answer(200, 0)]).await;
         let other = start("stock-1", "stock", vec![Reaction::Answer(200, 0)]).await;
-        acquaint(&entry, &other).await;
+        link_nodes(&entry, &other).await;
         entry.node.stop();
         assert_eq!(status(&ask(&entry, &request("read", "a0")).await), 200);
         sleep(Duration::from_millis(GRACE_MS / 2 + 50)).await;
