--- a/src/standin/platform/fault.rs
+++ b/src/standin/platform/fault.rs
@@ -1,29 +1,29 @@
-//! Faults of the platform's services.
+//! Fault injection for the stand-ins of the platform's services.
 
 use serde::{Deserialize, Serialize};
 
-/// How a stand-in of the platform fails.
+/// The kind of fault to inject.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultMode {
-    /// Not at all.
+    /// No fault.
     #[default]
     Up,
-    /// Every connection is closed without an answer and nothing takes effect.
+    /// Every connection is closed without a response, and no request takes effect.
     Down,
-    /// Every request waits before it takes effect.
+    /// Every request is delayed before it takes effect.
     Slow,
-    /// Writes take effect, then the connection is closed without an answer.
+    /// Writes take effect, then the connection is closed without a response; reads are answered.
     LoseAnswers,
 }
 
-/// The fault in force.
+/// An injected fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// How the service fails.
+    /// The kind of fault.
     pub mode: FaultMode,
-    /// How long a slow service waits, in milliseconds.
+    /// Delay of each request under [`FaultMode::Slow`], in milliseconds.
     #[serde(default)]
     pub delay_ms: u64,
 }
--- a/src/standin/platform/mod.rs
+++ b/src/standin/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the platform's table service and object store, in memory, with faults.
+//! In-memory stand-ins for the platform's table service and object store, with fault injection.
 
 mod fault;
 mod objects;
@@ -21,51 +21,51 @@
 
 /// Worker threads of a stand-in of the platform.
 const WORKERS: usize = 2;
-/// Where faults are set.
+/// Path at which faults are injected.
 const FAULT_PATH: &str = "/fault";
-/// Where reads and writes are counted.
+/// Path that reports the number of reads and writes.
 const STATS_PATH: &str = "/stats";
 
-/// Which of the two services a stand-in is.
+/// The data of a stand-in, by the service that it stands for.
 #[derive(Debug)]
-enum Contents {
+enum Store {
     /// The transactional table service.
     Tables(Tables),
     /// The object store.
     Objects(Objects),
 }
 
-/// What is behind the lock of a stand-in.
+/// State of a stand-in, shared by its requests under a lock.
 #[derive(Debug)]
 struct State {
-    /// What is kept.
-    contents: Contents,
-    /// The fault in force.
+    /// The stored data.
+    store: Store,
+    /// The fault in effect.
     fault: Fault,
-    /// Requests that read, counted also when they fail.
+    /// Read requests, including failed ones.
     reads: u64,
-    /// Requests that write, counted also when they fail.
+    /// Write requests, including failed ones.
     writes: u64,
 }
 
-/// Starts a table service.
+/// Starts a stand-in for the table service.
 pub fn start_table(listen: SocketAddr) -> Result<Server, WebError> {
-    start(listen, Contents::Tables(Tables::default()))
+    start(listen, Store::Tables(Tables::default()))
 }
 
-/// Starts an object store.
+/// Starts a stand-in for the object store.
 pub fn start_objects(listen: SocketAddr) -> Result<Server, WebError> {
-    start(listen, Contents::Objects(Objects::default()))
+    start(listen, Store::Objects(Objects::default()))
 }
 
-/// Starts a stand-in over its contents.
-fn start(listen: SocketAddr, contents: Contents) -> Result<Server, WebError> {
-    let state = State { contents, fault: Fault::default(), reads: 0, writes: 0 };
+/// Starts a stand-in that serves `store`.
+fn start(listen: SocketAddr, store: Store) -> Result<Server, WebError> {
+    let state = State { store, fault: Fault::default(), reads: 0, writes: 0 };
     let state = Arc::new(Mutex::new(state));
     Server::start(listen, WORKERS, move |exchange| answer(state.clone(), exchange))
 }
 
-/// Answers one exchange under the fault in force.
+/// Answers one request, subject to the fault in effect.
 fn answer(
     state: Arc<Mutex<State>>,
     exchange: Exchange,
@@ -76,8 +76,8 @@
             ("GET", STATS_PATH) => return stats(&state),
             _ => {}
         }
-        let reading = exchange.method == "GET";
-        let fault = count(&state, reading);
+        let is_read = exchange.method == "GET";
+        let fault = count_request(&state, is_read);
         match fault.mode {
             FaultMode::Up => apply(&state, &exchange),
             FaultMode::Down => Reply::closed(),
@@ -85,7 +85,7 @@
                 tokio::time::sleep(Duration::from_millis(fault.delay_ms)).await;
                 apply(&state, &exchange)
             }
-            FaultMode::LoseAnswers if reading => apply(&state, &exchange),
+            FaultMode::LoseAnswers if is_read => apply(&state, &exchange),
             FaultMode::LoseAnswers => {
                 apply(&state, &exchange);
                 Reply::closed()
@@ -94,10 +94,10 @@
     })
 }
 
-/// Counts a request and gives the fault it meets.
-fn count(state: &Mutex<State>, reading: bool) -> Fault {
+/// Counts a request and returns the fault in effect.
+fn count_request(state: &Mutex<State>, is_read: bool) -> Fault {
     let mut state = lock(state);
-    if reading {
+    if is_read {
         state.reads += 1;
     } else {
         state.writes += 1;
@@ -105,15 +105,15 @@
     state.fault
 }
 
-/// Carries a request out.
+/// Executes a request against the stored data.
 fn apply(state: &Mutex<State>, exchange: &Exchange) -> Reply {
-    match &mut lock(state).contents {
-        Contents::Tables(tables) => tables.answer(exchange),
-        Contents::Objects(objects) => objects.answer(exchange),
+    match &mut lock(state).store {
+        Store::Tables(tables) => tables.answer(exchange),
+        Store::Objects(objects) => objects.answer(exchange),
     }
 }
 
-/// Puts a fault in force.
+/// Injects the fault in the request.
 fn set_fault(state: &Mutex<State>, exchange: &Exchange) -> Reply {
     match serde_json::from_slice::<Fault>(&exchange.body) {
         Ok(fault) => lock(state).fault = fault,
@@ -122,13 +122,13 @@
     Reply::empty(204)
 }
 
-/// Tells how many requests came in, whatever became of them.
+/// Reports how many requests were received, including failed ones.
 fn stats(state: &Mutex<State>) -> Reply {
     let state = lock(state);
     Reply::json(200, &json!({"reads": state.reads, "writes": state.writes}))
 }
 
-/// Locks, also after a panic elsewhere: every change here is one step.
+/// Locks and ignores poisoning: no change under this lock can be left incomplete by a panic.
 fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/standin/platform/objects.rs
+++ b/src/standin/platform/objects.rs
@@ -1,14 +1,14 @@
-//! Objects of the object store: bytes under a key, with an entity tag.
+//! Objects of the object store: bytes by key, each with an entity tag.
 
 use std::collections::BTreeMap;
 
 use crate::standin::answer::digest;
 use crate::standin::exchange::{Exchange, Reply};
 
-/// All objects by key.
+/// All objects of the store.
 #[derive(Debug, Default)]
 pub(super) struct Objects {
-    /// Bytes by key.
+    /// Contents by key.
     objects: BTreeMap<String, Vec<u8>>,
 }
 
@@ -36,8 +36,8 @@
 
     fn put(&mut self, key: &str, exchange: &Exchange) -> Reply {
         let create_only = exchange.header("if-none-match").is_some();
-        if let Some(present) = self.objects.get(key).filter(|_| create_only) {
-            return Reply::problem(412, "the object exists").with("etag", &entity_tag(present));
+        if let Some(current) = self.objects.get(key).filter(|_| create_only) {
+            return Reply::problem(412, "the object exists").with("etag", &entity_tag(current));
         }
         let created = self.objects.insert(key.to_owned(), exchange.body.clone()).is_none();
         let status = if created { 201 } else { 200 };
@@ -52,7 +52,7 @@
     }
 }
 
-/// The entity tag of these bytes.
+/// The quoted entity tag of an object's contents.
 fn entity_tag(bytes: &[u8]) -> String {
     format!("\"{}\"", digest(bytes))
 }
--- a/src/standin/platform/rows.rs
+++ b/src/standin/platform/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the table service: versions, compare-and-set and scans by prefix.
+//! Rows of the table service: versions, compare-and-set and prefix scans.
 
 use std::collections::BTreeMap;
 
@@ -7,19 +7,19 @@
 
 use crate::standin::exchange::{Exchange, Reply};
 
-/// One row.
+/// A row in its JSON form.
 #[derive(Clone, Debug, Serialize)]
 struct Row {
-    /// Its key.
+    /// The key, unique in its table.
     key: String,
-    /// Raised by every write of any row, so that a row that is deleted and created again never
-    /// repeats a version.
+    /// The version of the last write. Versions increase over all rows, so a row that is deleted and
+    /// created again never reuses a version.
     version: u64,
-    /// What was written.
+    /// The JSON value last written.
     value: Value,
 }
 
-/// All tables, each made by its first write.
+/// All tables. A table exists from its first write.
 #[derive(Debug, Default)]
 pub(super) struct Tables {
     /// Rows by table and key.
@@ -28,23 +28,23 @@
     last_version: u64,
 }
 
-/// What a write asks of the row it finds.
+/// The precondition of a write.
 enum Condition {
-    /// Nothing.
+    /// None: the write always applies.
     None,
-    /// That there is no row.
+    /// The row does not exist.
     Absent,
-    /// That the row has this version.
+    /// The row exists with this version.
     Version(u64),
 }
 
 impl Tables {
     /// Answers one request.
     pub(super) fn answer(&mut self, exchange: &Exchange) -> Reply {
-        let Some((table, key)) = split_path(&exchange.path) else {
+        let Some((table, key)) = parse_path(&exchange.path) else {
             return Reply::problem(404, "no such path");
         };
-        let Some(condition) = condition(exchange) else {
+        let Some(condition) = parse_condition(exchange) else {
             return Reply::problem(400, "If-Match is a version in quotes, If-None-Match is *");
         };
         match (exchange.method.as_str(), key) {
@@ -67,8 +67,8 @@
         let prefix = prefix.replace("%3A", ":").replace("%3a", ":");
         let from = (table.to_owned(), prefix.clone());
         let mut rows = Vec::new();
-        for ((present, key), row) in self.rows.range(from..) {
-            if present != table || !key.starts_with(&prefix) {
+        for ((row_table, key), row) in self.rows.range(from..) {
+            if row_table != table || !key.starts_with(&prefix) {
                 break;
             }
             rows.push(row);
@@ -77,14 +77,14 @@
     }
 
     fn put(&mut self, table: &str, key: &str, body: &[u8], condition: &Condition) -> Reply {
-        if !well_formed(key) {
+        if !is_valid_key(key) {
             return Reply::problem(400, "keys use only A-Z a-z 0-9 : . _ -");
         }
         let Ok(value) = serde_json::from_slice::<Value>(body) else {
             return Reply::problem(400, "the body is not JSON");
         };
-        if let Some(refused) = self.refuse(table, key, condition) {
-            return refused;
+        if let Some(rejection) = self.check_condition(table, key, condition) {
+            return rejection;
         }
         self.last_version += 1;
         let version = self.last_version;
@@ -97,25 +97,25 @@
         if self.row(table, key).is_none() {
             return Reply::problem(404, "no such row");
         }
-        if let Some(refused) = self.refuse(table, key, condition) {
-            return refused;
+        if let Some(rejection) = self.check_condition(table, key, condition) {
+            return rejection;
         }
         self.rows.remove(&(table.to_owned(), key.to_owned()));
         Reply::empty(204)
     }
 
-    /// The refusal of a write whose condition the present row does not meet.
-    fn refuse(&self, table: &str, key: &str, condition: &Condition) -> Option<Reply> {
-        let present = self.row(table, key);
-        let met = match condition {
+    /// The 412 reply, with the current row if there is one, where the condition does not hold.
+    fn check_condition(&self, table: &str, key: &str, condition: &Condition) -> Option<Reply> {
+        let current = self.row(table, key);
+        let holds = match condition {
             Condition::None => true,
-            Condition::Absent => present.is_none(),
-            Condition::Version(version) => present.is_some_and(|row| row.version == *version),
+            Condition::Absent => current.is_none(),
+            Condition::Version(version) => current.is_some_and(|row| row.version == *version),
         };
-        if met {
+        if holds {
             return None;
         }
-        Some(present.map_or_else(|| Reply::json(412, &json!({})), |row| Reply::json(412, row)))
+        Some(current.map_or_else(|| Reply::json(412, &json!({})), |row| Reply::json(412, row)))
     }
 
     fn row(&self, table: &str, key: &str) -> Option<&Row> {
@@ -123,8 +123,8 @@
     }
 }
 
-/// The table and the key of `/tables/{table}/rows[/{key}]`.
-fn split_path(path: &str) -> Option<(&str, Option<&str>)> {
+/// Parses `/tables/{table}/rows[/{key}]` into the table and the key.
+fn parse_path(path: &str) -> Option<(&str, Option<&str>)> {
     let mut parts = path.strip_prefix("/tables/")?.splitn(3, '/');
     let table = parts.next()?;
     if table.is_empty() || parts.next()? != "rows" {
@@ -133,8 +133,8 @@
     Some((table, parts.next().filter(|key| !key.is_empty())))
 }
 
-/// The condition of a write; none where its headers are malformed.
-fn condition(exchange: &Exchange) -> Option<Condition> {
+/// The condition in the headers of a request; none where they are malformed.
+fn parse_condition(exchange: &Exchange) -> Option<Condition> {
     if let Some(value) = exchange.header("if-none-match") {
         return (value.trim() == "*").then_some(Condition::Absent);
     }
@@ -144,7 +144,7 @@
     value.trim().trim_matches('"').parse().ok().map(Condition::Version)
 }
 
-/// Whether a key uses only the characters that are allowed.
-fn well_formed(key: &str) -> bool {
+/// Whether a key uses only allowed characters.
+fn is_valid_key(key: &str) -> bool {
     key.bytes().all(|byte| byte.is_ascii_alphanumeric() || b":._-".contains(&byte))
 }
