--- a/src/standin/cli.rs
+++ b/src/standin/cli.rs
@@ -218,7 +218,7 @@
         .listen(args.listen)
         .maybe_node(args.node)
         .slots(args.slots)
-        .lanes(args.lane_slots.0.clone())
+        .arm_slots(args.lane_slots.0.clone())
         .queue_max(args.queue_max)
         .connections(args.connections)
         .service_ms(args.service_ms)
@@ -231,7 +231,7 @@
     println!("target of {} listens on {}", args.service, target.address());
     runtime.block_on(async {
         told_to_stop().await?;
-        match target.leave(Duration::from_millis(LEAVE_WAIT_MS)).await {
+        match target.drain(Duration::from_millis(LEAVE_WAIT_MS)).await {
             0 => Ok(()),
             cut_off => Err(eyre!("{cut_off} calls were cut off")),
         }
--- a/src/standin/target/announce.rs
+++ b/src/standin/target/announce.rs
@@ -1,4 +1,4 @@
-//! A target's announcements to its node.
+//! Registers a target with its node by announcements repeated at an interval.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,19 +8,19 @@
 
 use super::settings::TargetSettings;
 
-/// How often a target announces itself.
-const ANNOUNCE_EVERY_MS: u64 = 2_000;
-/// How soon a target tries again when its node did not answer.
-const ANNOUNCE_AGAIN_MS: u64 = 200;
+/// Interval between announcements.
+const ANNOUNCE_INTERVAL_MS: u64 = 2_000;
+/// Delay before the next announcement when the node did not accept the last one.
+const ANNOUNCE_RETRY_MS: u64 = 200;
 
-/// Announces the target to its node until the task is ended.
+/// Announces the target to its node until the task is aborted.
 pub(super) async fn announce(
     client: Client,
     node: SocketAddr,
     settings: TargetSettings,
     address: SocketAddr,
 ) {
-    let slots = settings.slots + settings.lanes.iter().map(|(_, slots)| slots).sum::<u32>();
+    let slots = settings.slots + settings.arm_slots.iter().map(|(_, slots)| slots).sum::<u32>();
     let body = json!({
         "url": format!("http://{address}"),
         "service": settings.service,
@@ -30,14 +30,14 @@
     let url = format!("http://{node}/_aspenspring/announce");
     loop {
         let sent = client.post(&url).json(&body).send().await;
-        let heard = sent.is_ok_and(|answer| answer.status().is_success());
-        let pause_ms = if heard { ANNOUNCE_EVERY_MS } else { ANNOUNCE_AGAIN_MS };
-        tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+        let accepted = sent.is_ok_and(|answer| answer.status().is_success());
+        let interval_ms = if accepted { ANNOUNCE_INTERVAL_MS } else { ANNOUNCE_RETRY_MS };
+        tokio::time::sleep(Duration::from_millis(interval_ms)).await;
     }
 }
 
-/// Tells the node that the target is leaving.
-pub(super) async fn drain(client: &Client, node: SocketAddr) -> Result<(), reqwest::Error> {
+/// Tells the node to send this target no more calls.
+pub(super) async fn notify_drain(client: &Client, node: SocketAddr) -> Result<(), reqwest::Error> {
     let url = format!("http://{node}/_aspenspring/drain");
     client.post(url).send().await?.error_for_status()?;
     Ok(())
--- a/src/standin/target/call.rs
+++ b/src/standin/target/call.rs
@@ -1,11 +1,11 @@
-//! One call as a target sees it.
+//! An incoming call, parsed from its HTTP request.
 
 use bytes::Bytes;
 use tokio::time::{Duration, Instant};
 
 use crate::standin::exchange::Exchange;
 
-/// One call as a target sees it.
+/// An incoming call.
 #[derive(Clone, Debug)]
 pub(super) struct Call {
     /// The method.
@@ -16,15 +16,16 @@
     headers: Vec<(String, String)>,
     /// The whole body.
     pub(super) body: Bytes,
-    /// When the caller has no more use for an answer.
+    /// After this, the caller no longer waits for an answer.
     pub(super) deadline: Instant,
 }
 
 impl Call {
-    /// The call of an exchange that came in at `now`.
+    /// Parses a request received at `now`. The deadline is at most `default_deadline_ms` away, and
+    /// exactly that where the request sets none.
     pub(super) fn new(exchange: Exchange, default_deadline_ms: u64, now: Instant) -> Self {
-        let remaining = exchange.header("aspenspring-deadline-ms");
-        let remaining_ms = remaining.and_then(|value| value.parse().ok());
+        let header_value = exchange.header("aspenspring-deadline-ms");
+        let remaining_ms = header_value.and_then(|value| value.parse().ok());
         let remaining_ms = remaining_ms.unwrap_or(default_deadline_ms).min(default_deadline_ms);
         Self {
             path: exchange.target(),
@@ -35,13 +36,13 @@
         }
     }
 
-    /// The first header of this name, which is given in lower case.
+    /// The first header with this name; `name` must be in lower case.
     pub(super) fn header(&self, name: &str) -> Option<&str> {
-        let found = self.headers.iter().find(|(present, _)| present == name);
+        let found = self.headers.iter().find(|(header_name, _)| header_name == name);
         found.map(|(_, value)| value.as_str())
     }
 
-    /// The handle by which the node cancels the call.
+    /// The identifier with which the node can cancel the call.
     pub(super) fn handle(&self) -> Option<&str> {
         self.header("aspenspring-call")
     }
@@ -51,7 +52,7 @@
         self.header("idempotency-key")
     }
 
-    /// The policy arm.
+    /// The policy arm that the node chose for the call.
     pub(super) fn arm(&self) -> Option<&str> {
         self.header("aspenspring-arm")
     }
--- a/src/standin/target/cancel.rs
+++ b/src/standin/target/cancel.rs
@@ -1,31 +1,31 @@
-//! Calls that can be cancelled by the handle their node gave them.
+//! Cancellation of running calls by the identifier that the node gave them.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use tokio::sync::watch;
 
-/// The calls under way, by handle. A handle may have more than one call.
+/// Calls in flight by handle. Several calls may share a handle.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Cancellations(Arc<Mutex<HashMap<String, Entry>>>);
 
-/// The calls of one handle.
+/// The calls that share a handle.
 #[derive(Debug)]
 struct Entry {
-    /// Turns true when they are cancelled.
+    /// Set to true when the calls are cancelled.
     cancelled: watch::Sender<bool>,
-    /// How many calls there are.
+    /// Number of calls in flight.
     calls: usize,
 }
 
-/// A call's registration, ended when dropped.
+/// A registered call; dropping it removes the call.
 #[derive(Debug)]
 pub(super) struct Registration {
-    /// Where the call is registered.
+    /// The registry that holds the call.
     cancellations: Cancellations,
     /// Its handle.
     handle: String,
-    /// Turns true when the call is cancelled.
+    /// Becomes true when the call is cancelled.
     cancelled: watch::Receiver<bool>,
 }
 
@@ -41,7 +41,7 @@
         Registration { cancellations: self.clone(), handle: handle.to_owned(), cancelled }
     }
 
-    /// Cancels the calls of a handle and tells whether there were any.
+    /// Cancels all calls with this handle; false if there are none.
     pub(super) fn cancel(&self, handle: &str) -> bool {
         let entries = self.lock();
         let Some(entry) = entries.get(handle) else { return false };
@@ -55,7 +55,7 @@
 }
 
 impl Registration {
-    /// Returns when the call is cancelled, and never otherwise.
+    /// Completes when the call is cancelled; otherwise stays pending forever.
     pub(super) async fn cancelled(&mut self) {
         if self.cancelled.wait_for(|cancelled| *cancelled).await.is_err() {
             std::future::pending::<()>().await;
--- a/src/standin/target/children.rs
+++ b/src/standin/target/children.rs
@@ -1,4 +1,4 @@
-//! The calls a target makes to other services, by way of its own node.
+//! Child calls: the calls a target makes to other services through its node while serving a call.
 
 use std::net::SocketAddr;
 
@@ -7,36 +7,37 @@
 use super::call::Call;
 use crate::standin::answer::Answer;
 
-/// Header that ties a target's own calls to the call it is serving.
-const CALL_HEADER: &str = "aspenspring-call";
-/// Headers of the call that its own calls carry on.
-const PASSED_ON: [&str; 2] = [CALL_HEADER, "content-type"];
-/// The status of a target whose own call was refused or timed out.
+/// Header that links a child call to the call being served.
+const CALL_ID_HEADER: &str = "aspenspring-call";
+/// Headers copied from the call to its child calls.
+const FORWARDED_HEADERS: [&str; 2] = [CALL_ID_HEADER, "content-type"];
+/// Status returned when a child call was refused or timed out.
 const UNAVAILABLE: u16 = 503;
-/// The status of a target whose own call got no usable answer.
+/// Status returned when a child call got no usable answer.
 const BAD_GATEWAY: u16 = 502;
 
-/// The header in which a node says what became of a call.
+/// Header in which the node reports whether the call ran.
 const VERDICT_HEADER: &str = "aspenspring-verdict";
 
-/// Why a call to another service gave no answer.
+/// A child call that failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct ChildError {
-    /// The status the target answers with.
+    /// Status with which the target answers its own caller.
     pub(super) status: u16,
-    /// What the node said of the call: the status and the verdict.
-    pub(super) told: String,
+    /// The node's status and verdict, or a description of the failure.
+    pub(super) detail: String,
 }
 
 impl ChildError {
-    /// A call without a usable answer.
-    fn bad_gateway(told: impl Into<String>) -> Self {
-        Self { status: BAD_GATEWAY, told: told.into() }
+    /// An error for a child call without a usable answer.
+    fn bad_gateway(detail: impl Into<String>) -> Self {
+        Self { status: BAD_GATEWAY, detail: detail.into() }
     }
 }
 
-/// Calls every service of `services`, all at once or one after the other, and stops at an error.
-pub(super) async fn call_all(
+/// Calls all `services`, concurrently or in sequence. Returns the first error in the order of
+/// `services`; child calls that still run are then aborted.
+pub(super) async fn call_services(
     client: &Client,
     node: SocketAddr,
     services: &[String],
@@ -46,14 +47,14 @@
     let mut answers = Vec::new();
     if !parallel {
         for service in services {
-            answers.push(call_one(client, node, service, call).await?);
+            answers.push(call_service(client, node, service, call).await?);
         }
         return Ok(answers);
     }
     let mut running = Vec::new();
     for service in services {
         let (client, service, call) = (client.clone(), service.clone(), call.clone());
-        let child = async move { call_one(&client, node, &service, &call).await };
+        let child = async move { call_service(&client, node, &service, &call).await };
         running.push(AbortOnDrop(tokio::spawn(child)));
     }
     for child in &mut running {
@@ -64,7 +65,7 @@
     Ok(answers)
 }
 
-/// A task that ends with the call it works for.
+/// Aborts its task when dropped, so that a child call does not outlive the call being served.
 struct AbortOnDrop<T>(tokio::task::JoinHandle<T>);
 
 impl<T> Drop for AbortOnDrop<T> {
@@ -73,8 +74,8 @@
     }
 }
 
-/// Calls one service with the request of the call that is being served.
-async fn call_one(
+/// Calls one service with the method, path and body of the call being served.
+async fn call_service(
     client: &Client,
     node: SocketAddr,
     service: &str,
@@ -84,7 +85,7 @@
         .map_err(|error| ChildError::bad_gateway(error.to_string()))?;
     let url = format!("http://{node}/{service}{}", call.path);
     let mut request = client.request(method, url).body(call.body.clone());
-    for name in PASSED_ON {
+    for name in FORWARDED_HEADERS {
         let Some(value) = call.header(name) else { continue };
         request = request.header(name, value);
     }
@@ -92,12 +93,12 @@
     let answer = sent.map_err(|error| ChildError::bad_gateway(error.to_string()))?;
     let status = answer.status().as_u16();
     let verdict = answer.headers().get(VERDICT_HEADER).and_then(|value| value.to_str().ok());
-    let told = format!("{status} {}", verdict.unwrap_or("without a verdict"));
+    let detail = format!("{status} {}", verdict.unwrap_or("without a verdict"));
     if matches!(status, 429 | 503 | 504) {
-        return Err(ChildError { status: UNAVAILABLE, told });
+        return Err(ChildError { status: UNAVAILABLE, detail });
     }
     if status != 200 {
-        return Err(ChildError::bad_gateway(told));
+        return Err(ChildError::bad_gateway(detail));
     }
     let answer = answer.json::<Answer>().await;
     let answer = answer.map_err(|error| ChildError::bad_gateway(error.to_string()))?;
--- a/src/standin/target/fault.rs
+++ b/src/standin/target/fault.rs
@@ -1,39 +1,39 @@
-//! Faults of a stand-in target.
+//! Fault injection for a stand-in target.
 
 use serde::{Deserialize, Serialize};
 use tokio::time::{Duration, Instant};
 
-/// How a target fails.
+/// The kind of fault to inject.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultMode {
-    /// Not at all.
+    /// No fault.
     #[default]
     Ok,
-    /// Calls that have a slot make no progress until the fault ends.
+    /// Calls that hold a slot make no progress until the fault ends.
     Stall,
-    /// Work takes `factor` times as long.
+    /// Calls take `factor` times as long.
     Slow,
-    /// Calls are run and answered with 500.
+    /// Calls run and are answered with status 500.
     Error,
-    /// Health and load look best while work takes `factor` times as long.
+    /// Calls take `factor` times as long while the target reports itself healthy and idle.
     Lie,
-    /// Calls are run, then the connection is closed without an answer.
+    /// Calls run, then the connection is closed without a response.
     Close,
-    /// Calls are run, then the answer is cut off half way.
+    /// Calls run, then the response is cut off halfway through the body.
     Truncate,
 }
 
-/// The order that puts a fault in force.
+/// A request to inject a fault, or to end it with [`FaultMode::Ok`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct FaultOrder {
-    /// How the target fails.
+pub struct FaultRequest {
+    /// The kind of fault.
     pub mode: FaultMode,
-    /// How many times longer work takes.
+    /// Factor by which the duration of calls is multiplied.
     #[serde(default = "default_factor")]
     pub factor: f64,
-    /// How long the fault lasts, in milliseconds; until the next order where absent.
+    /// Duration of the fault in milliseconds; where absent, it lasts until the next request.
     #[serde(default)]
     pub for_ms: Option<u64>,
 }
@@ -42,14 +42,14 @@
     1.0
 }
 
-/// The fault in force.
+/// An injected fault.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Fault {
-    /// How the target fails.
+    /// The kind of fault.
     pub(super) mode: FaultMode,
-    /// How many times longer work takes.
+    /// Factor by which the duration of calls is multiplied.
     pub(super) factor: f64,
-    /// When the fault ends by itself.
+    /// When the fault expires, if it does.
     pub(super) until: Option<Instant>,
 }
 
@@ -57,13 +57,13 @@
     /// No fault.
     pub(super) const NONE: Fault = Fault { mode: FaultMode::Ok, factor: 1.0, until: None };
 
-    /// The fault an order asks for, from `now` on.
-    pub(super) fn new(order: &FaultOrder, now: Instant) -> Self {
-        let until = order.for_ms.map(|for_ms| now + Duration::from_millis(for_ms));
-        Self { mode: order.mode, factor: order.factor, until }
+    /// The requested fault, starting at `now`.
+    pub(super) fn new(request: &FaultRequest, now: Instant) -> Self {
+        let until = request.for_ms.map(|for_ms| now + Duration::from_millis(for_ms));
+        Self { mode: request.mode, factor: request.factor, until }
     }
 
-    /// What is left of the fault at `now`.
+    /// The fault in effect at `now`: this one, or none once it has expired.
     pub(super) fn at(self, now: Instant) -> Self {
         match self.until {
             Some(until) if until <= now => Self::NONE,
--- a/src/standin/target/mod.rs
+++ b/src/standin/target/mod.rs
@@ -1,17 +1,18 @@
 //! A stand-in for one target of a service.
 //!
-//! It announces itself to its node, waits, calls other services by way of its node and answers with
-//! what it saw, so that a caller can tell a whole and correct answer from any other.
+//! It announces itself to its node. For each call, it waits for the service time, calls other services
+//! through its node, and answers with an echo of the request, with which a caller can verify that the
+//! answer is complete and belongs to its call.
 
 mod announce;
 mod call;
 mod cancel;
 mod children;
 mod fault;
-mod lanes;
-mod ledger;
+mod run_stats;
 mod settings;
-mod shared;
+mod slots;
+mod state;
 mod work;
 
 use std::net::SocketAddr;
@@ -23,13 +24,13 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-pub use self::fault::{FaultMode, FaultOrder};
-pub use self::ledger::{Ledger, RunEnd};
+pub use self::fault::{FaultMode, FaultRequest};
+pub use self::run_stats::{RunEnd, RunStats};
 pub use self::settings::TargetSettings;
 
 use self::call::Call;
 use self::fault::Fault;
-use self::shared::Shared;
+use self::state::TargetState;
 use super::client::client;
 use super::exchange::{Exchange, Reply};
 use super::server::Server;
@@ -37,139 +38,140 @@
 
 /// Worker threads of a target.
 const WORKERS: usize = 2;
-/// What the paths begin with that are not calls.
-const OWN_PREFIX: &str = "/_aspenspring/";
-/// How often a leaving target looks whether its calls are done.
-const LEAVE_LOOK_MS: u64 = 10;
+/// Path prefix of control requests; all other paths are calls.
+const CONTROL_PREFIX: &str = "/_aspenspring/";
+/// Interval at which a draining target checks whether its calls have ended.
+const DRAIN_POLL_MS: u64 = 10;
 
-/// Why a target did not start.
+/// An error at the start of a target.
 #[derive(Debug, Error)]
 pub enum TargetError {
-    /// Its server did not start.
+    /// The HTTP server did not start.
     #[error(transparent)]
     Server(#[from] WebError),
-    /// Its HTTP client could not be made.
-    #[error("cannot make the HTTP client of a target")]
+    /// The HTTP client could not be created.
+    #[error("cannot create the HTTP client of a target")]
     Client(#[from] reqwest::Error),
 }
 
-/// A running target. It stops when this is dropped, cutting off what it runs.
+/// A running target. Dropping it stops the target and aborts its calls.
 #[derive(Debug)]
 pub struct Target {
-    /// Its state.
-    shared: Arc<Shared>,
-    /// Its announcements to its node.
+    /// State shared with the calls.
+    state: Arc<TargetState>,
+    /// The task that announces the target to its node.
     announcements: Option<JoinHandle<()>>,
-    /// Its server.
+    /// The HTTP server.
     server: Server,
 }
 
 impl Target {
     /// Starts a target and its announcements.
     pub fn start(settings: TargetSettings) -> Result<Self, TargetError> {
-        let longest = Duration::from_millis(settings.deadline_ms);
-        let shared = Arc::new(Shared::new(settings.clone(), client(longest)?));
-        let answering = shared.clone();
+        let timeout = Duration::from_millis(settings.deadline_ms);
+        let state = Arc::new(TargetState::new(settings.clone(), client(timeout)?));
+        let handler_state = state.clone();
         let server = Server::start(settings.listen, WORKERS, move |exchange| {
-            let shared = answering.clone();
-            async move { answer(&shared, exchange).await }
+            let state = handler_state.clone();
+            async move { answer(&state, exchange).await }
         })?;
         let announcements = settings.node.map(|node| {
-            let task = announce::announce(shared.client.clone(), node, settings, server.address());
+            let task = announce::announce(state.client.clone(), node, settings, server.address());
             server.runtime().spawn(task)
         });
-        Ok(Self { shared, announcements, server })
+        Ok(Self { state, announcements, server })
     }
 
-    /// The address bound, with its port.
+    /// The bound address, including the port.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// The base URL, without a slash at its end.
+    /// The base URL, without a trailing slash.
     pub fn url(&self) -> String {
         self.server.url()
     }
 
-    /// What the target ran so far.
-    pub fn ledger(&self) -> Ledger {
-        self.shared.ledger().clone()
+    /// A copy of the counters of runs so far.
+    pub fn run_stats(&self) -> RunStats {
+        self.state.run_stats().clone()
     }
 
-    /// Puts a fault in force.
-    pub fn fault(&self, order: &FaultOrder) {
-        self.shared.set_fault(Fault::new(order, Instant::now()));
+    /// Injects a fault in place of the previous one.
+    pub fn inject_fault(&self, request: &FaultRequest) {
+        self.state.set_fault(Fault::new(request, Instant::now()));
     }
 
-    /// Leaves: tells the node, takes no new calls, and waits up to `wait` for those that run.
+    /// Drains the target: tells the node, rejects new calls, and waits up to `timeout` for running
+    /// ones.
     ///
-    /// Gives the number of calls that were still running at the end of the wait.
-    pub async fn leave(self, wait: Duration) -> u32 {
+    /// Returns the number of calls that still run after the wait.
+    pub async fn drain(self, timeout: Duration) -> u32 {
         if let Some(announcements) = &self.announcements {
             announcements.abort();
         }
-        if let Some(node) = self.shared.settings.node {
-            // A node that is gone needs not be told.
-            let _ = announce::drain(&self.shared.client, node).await;
+        if let Some(node) = self.state.settings.node {
+            // The node may have stopped already.
+            let _ = announce::notify_drain(&self.state.client, node).await;
         }
-        self.shared.drain();
-        let until = Instant::now() + wait;
-        while self.shared.lanes.running() > 0 && Instant::now() < until {
-            tokio::time::sleep(Duration::from_millis(LEAVE_LOOK_MS)).await;
+        self.state.start_draining();
+        let until = Instant::now() + timeout;
+        while self.state.slot_pools.running() > 0 && Instant::now() < until {
+            tokio::time::sleep(Duration::from_millis(DRAIN_POLL_MS)).await;
         }
-        self.shared.lanes.running()
+        self.state.slot_pools.running()
     }
 }
 
-/// Answers one exchange.
-async fn answer(shared: &Shared, exchange: Exchange) -> Reply {
-    let Some(own) = exchange.path.strip_prefix(OWN_PREFIX) else {
-        let call = Call::new(exchange, shared.settings.deadline_ms, Instant::now());
-        return work::serve(shared, call).await;
+/// Answers one request: a control request or a call.
+async fn answer(state: &TargetState, exchange: Exchange) -> Reply {
+    let Some(operation) = exchange.path.strip_prefix(CONTROL_PREFIX) else {
+        let call = Call::new(exchange, state.settings.deadline_ms, Instant::now());
+        return work::serve(state, call).await;
     };
-    match (exchange.method.as_str(), own) {
-        ("GET", "health") => health(shared),
-        ("GET", "load") => load(shared),
-        ("GET", "runs") => Reply::json(200, &*shared.ledger()),
-        ("POST", "cancel") => cancel(shared, &exchange),
+    match (exchange.method.as_str(), operation) {
+        ("GET", "health") => health(state),
+        ("GET", "load") => load(state),
+        ("GET", "runs") => Reply::json(200, &*state.run_stats()),
+        ("POST", "cancel") => cancel(state, &exchange),
         ("POST", "drain") => {
-            shared.drain();
+            state.start_draining();
             Reply::empty(204)
         }
-        ("POST", "fault") => set_fault(shared, &exchange),
+        ("POST", "fault") => set_fault(state, &exchange),
         _ => Reply::problem(404, "no such path"),
     }
 }
 
-/// Whether the target is well, if it tells the truth.
-fn health(shared: &Shared) -> Reply {
-    if shared.is_draining() && shared.fault().mode != FaultMode::Lie {
+/// Reports whether the target is healthy; under [`FaultMode::Lie`], always healthy.
+fn health(state: &TargetState) -> Reply {
+    if state.is_draining() && state.fault().mode != FaultMode::Lie {
         return Reply::json(503, &json!({"status": "draining"}));
     }
     Reply::json(200, &json!({"status": "ok"}))
 }
 
-/// How busy the target is, if it tells the truth.
-fn load(shared: &Shared) -> Reply {
-    let lying = shared.fault().mode == FaultMode::Lie;
-    let running = if lying { 0 } else { shared.lanes.running() };
-    Reply::json(200, &json!({"running": running, "slots": shared.settings.slots}))
+/// Reports how many calls run; under [`FaultMode::Lie`], always none.
+fn load(state: &TargetState) -> Reply {
+    let lies = state.fault().mode == FaultMode::Lie;
+    let running = if lies { 0 } else { state.slot_pools.running() };
+    Reply::json(200, &json!({"running": running, "slots": state.settings.slots}))
 }
 
-/// Cancels the calls of a handle.
-fn cancel(shared: &Shared, exchange: &Exchange) -> Reply {
+/// Cancels all calls with the handle in the request.
+fn cancel(state: &TargetState, exchange: &Exchange) -> Reply {
     let handle = exchange.header("aspenspring-call").filter(|handle| !handle.is_empty());
     let Some(handle) = handle else {
         return Reply::problem(400, "the header aspenspring-call is missing");
     };
-    let status = if shared.cancellations.cancel(handle) { 204 } else { 404 };
+    let status = if state.cancellations.cancel(handle) { 204 } else { 404 };
     Reply::empty(status)
 }
 
-/// Puts a fault in force.
-fn set_fault(shared: &Shared, exchange: &Exchange) -> Reply {
-    match serde_json::from_slice::<FaultOrder>(&exchange.body) {
-        Ok(order) => shared.set_fault(Fault::new(&order, Instant::now())),
+/// Injects the fault in the request.
+fn set_fault(state: &TargetState, exchange: &Exchange) -> Reply {
+    match serde_json::from_slice::<FaultRequest>(&exchange.body) {
+        Ok(request) => state.set_fault(Fault::new(&request, Instant::now())),
         Err(error) => return Reply::problem(400, &error.to_string()),
     }
     Reply::empty(204)
--- a/src/standin/target/run_stats.rs
+++ b/src/standin/target/run_stats.rs
@@ -1,45 +1,46 @@
-//! What a target ran: how often each key, and how much work was for nothing.
+//! Statistics of a target's runs: the number of runs by idempotency key, and the slot time by outcome,
+//! which shows how much work was wasted.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// How many keys are remembered; later ones are counted in `runs` only.
+/// Maximum number of keys in `runs_by_key`; runs with further keys count in `runs` only.
 const KEYS_MAX: usize = 1_000_000;
 
-/// How a run ended.
+/// The outcome of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunEnd {
-    /// With a whole answer.
+    /// A complete answer was sent.
     Answered,
-    /// With an error because a service further down gave none.
+    /// An error was sent because a child call failed.
     ChildFailed,
-    /// The deadline passed.
+    /// The deadline passed during the run.
     Expired,
-    /// It was cancelled.
+    /// The node cancelled the call.
     Cancelled,
-    /// By a fault of the target.
+    /// An injected fault spoiled the response.
     Faulty,
 }
 
-/// What a target ran so far.
+/// Counters of the runs of a target since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ledger {
-    /// Runs that were begun.
+pub struct RunStats {
+    /// Runs started.
     pub runs: u64,
-    /// Runs that were begun, by idempotency key.
+    /// Runs started, by idempotency key.
     pub runs_by_key: BTreeMap<String, u64>,
-    /// Runs that ended, by how they ended.
+    /// Runs that ended, by outcome.
     pub ended: BTreeMap<RunEnd, u64>,
-    /// Slot time of runs that ended, in microseconds, by how they ended.
+    /// Slot time of ended runs in microseconds, by outcome.
     pub busy_us: BTreeMap<RunEnd, u64>,
-    /// Calls that gave up, or were turned away, before they got a slot.
+    /// Calls rejected, expired or cancelled before they got a slot.
     pub never_run: u64,
 }
 
-impl Ledger {
-    /// Counts a run that begins.
+impl RunStats {
+    /// Counts the start of a run.
     pub(super) fn begin(&mut self, key: Option<&str>) {
         self.runs += 1;
         let Some(key) = key else { return };
--- a/src/standin/target/settings.rs
+++ b/src/standin/target/settings.rs
@@ -1,53 +1,53 @@
-//! What a stand-in target is told.
+//! Settings of a stand-in target.
 
 use std::net::SocketAddr;
 
 use bon::Builder;
 
-/// What a stand-in target is told at its start.
+/// Settings of a stand-in target.
 #[derive(Builder, Clone, Debug)]
 #[builder(derive(Clone))]
 pub struct TargetSettings {
-    /// The service it belongs to.
+    /// The service that the target belongs to.
     #[builder(into)]
     pub service: String,
-    /// Its name in answers.
+    /// Name of the target in its answers.
     #[builder(into)]
     pub name: String,
-    /// Where it listens; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Where its node listens for it (`target_listen`); without a node it announces nothing and
-    /// can call nobody.
+    /// Address on which the node accepts targets (`target_listen`). Without it, the target neither
+    /// announces itself nor makes child calls.
     pub node: Option<SocketAddr>,
-    /// How many calls it runs at once.
+    /// Number of calls that run at once.
     #[builder(default = 32)]
     pub slots: u32,
-    /// Slots set aside for single policy arms, by the value of the header `aspenspring-arm`; calls
-    /// of any other arm share `slots`.
+    /// Dedicated slots by policy arm (the value of the header `aspenspring-arm`); all other arms
+    /// share `slots`.
     #[builder(default)]
-    pub lanes: Vec<(String, u32)>,
-    /// How many calls may wait for a slot.
+    pub arm_slots: Vec<(String, u32)>,
+    /// Number of calls that may wait for a slot, in each pool of slots.
     #[builder(default = 10_000)]
     pub queue_max: u32,
-    /// How many connections it says that it accepts.
+    /// Number of connections that the target announces to accept.
     #[builder(default = 1_000)]
     pub connections: u32,
-    /// The mean time of its own work for a call, in milliseconds.
+    /// Mean service time of a call without its child calls, in milliseconds.
     #[builder(default = 5.0)]
     pub service_ms: f64,
-    /// The seed of the times it draws.
+    /// Seed of the random service times.
     #[builder(default = 1)]
     pub seed: u64,
-    /// The services it calls for each call.
+    /// Services that are called while serving each call.
     #[builder(default)]
     pub calls: Vec<String>,
-    /// Whether it calls them all at once, instead of one after the other.
+    /// Whether child calls are made concurrently instead of in sequence.
     #[builder(default)]
     pub parallel: bool,
-    /// How long after its start it works slowly, in milliseconds.
+    /// How long after its start the target is cold and works slowly, in milliseconds.
     #[builder(default)]
     pub cold_ms: u64,
-    /// The deadline of a call that names none, in milliseconds.
+    /// Default and longest deadline of a call, in milliseconds.
     #[builder(default = 30_000)]
     pub deadline_ms: u64,
 }
--- a/src/standin/target/slots.rs
+++ b/src/standin/target/slots.rs
@@ -1,86 +1,89 @@
-//! The slots of a target: one pool for all, or one for each policy arm.
+//! The slots of a target: a pool for each policy arm with dedicated slots, and one for all others.
 
 use std::sync::Arc;
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// One pool of slots with its queue, which is first come, first served.
+/// A pool of slots with a bounded FIFO queue.
 #[derive(Debug)]
-pub(super) struct Lane {
-    /// The arm the pool is set aside for; none for the pool of all others.
+pub(super) struct SlotPool {
+    /// The arm that the pool is dedicated to; none for the pool that all other arms share.
     arm: Option<String>,
-    /// How many calls run at once.
+    /// Number of calls that run at once.
     slots: u32,
-    /// The free slots; waiters are served in order.
+    /// Free slots; the semaphore serves waiters in FIFO order.
     free: Arc<Semaphore>,
-    /// Places for calls that run or wait.
-    places: Arc<Semaphore>,
+    /// Free places for calls that run or wait: slots plus queue.
+    capacity: Arc<Semaphore>,
 }
 
-/// A call's place in a lane, given back when dropped.
+/// Admission of a call to a pool, running or queued; released when dropped.
 #[derive(Debug)]
-pub(super) struct Place(#[expect(dead_code, reason = "held for its drop")] OwnedSemaphorePermit);
+pub(super) struct Admission(
+    #[expect(dead_code, reason = "held for its drop")] OwnedSemaphorePermit,
+);
 
-/// A slot, given back when dropped.
+/// A slot; released when dropped.
 #[derive(Debug)]
 pub(super) struct Slot(#[expect(dead_code, reason = "held for its drop")] OwnedSemaphorePermit);
 
-impl Lane {
+impl SlotPool {
     fn new(arm: Option<&str>, slots: u32, queue_max: u32) -> Self {
         Self {
             arm: arm.map(str::to_owned),
             slots,
             free: Arc::new(Semaphore::new(slots as usize)),
-            places: Arc::new(Semaphore::new(slots as usize + queue_max as usize)),
+            capacity: Arc::new(Semaphore::new(slots as usize + queue_max as usize)),
         }
     }
 
-    /// A place to run or wait in; none when the queue is full.
-    pub(super) fn enter(&self) -> Option<Place> {
-        self.places.clone().try_acquire_owned().ok().map(Place)
+    /// Admits a call to run or wait; none when the queue is full.
+    pub(super) fn try_admit(&self) -> Option<Admission> {
+        self.capacity.clone().try_acquire_owned().ok().map(Admission)
     }
 
-    /// Waits for a slot. Dropping the future leaves the queue.
-    pub(super) async fn slot(&self) -> Option<Slot> {
+    /// Waits for a slot. Dropping the future removes the call from the queue.
+    pub(super) async fn acquire_slot(&self) -> Option<Slot> {
         self.free.clone().acquire_owned().await.ok().map(Slot)
     }
 
-    /// How many slots are in use.
+    /// Number of slots in use.
     fn running(&self) -> u32 {
         self.slots - self.free.available_permits() as u32
     }
 }
 
-/// All lanes of a target.
+/// All pools of a target.
 #[derive(Debug)]
-pub(super) struct Lanes {
-    /// The lanes of single arms, then the one of all others.
-    lanes: Vec<Lane>,
+pub(super) struct SlotPools {
+    /// The pools dedicated to an arm, then the shared pool.
+    pools: Vec<SlotPool>,
 }
 
-impl Lanes {
-    /// Lanes with `slots` for all, and others for the arms named in `arms`.
+impl SlotPools {
+    /// Pools of the given sizes for `arms`, and one of `slots` that all other arms share; each has a
+    /// queue of `queue_max`.
     pub(super) fn new(slots: u32, arms: &[(String, u32)], queue_max: u32) -> Self {
-        let mut lanes = Vec::new();
+        let mut pools = Vec::new();
         for (arm, slots) in arms {
-            lanes.push(Lane::new(Some(arm), *slots, queue_max));
+            pools.push(SlotPool::new(Some(arm), *slots, queue_max));
         }
-        lanes.push(Lane::new(None, slots, queue_max));
-        Self { lanes }
+        pools.push(SlotPool::new(None, slots, queue_max));
+        Self { pools }
     }
 
-    /// The lane of an arm.
-    pub(super) fn of(&self, arm: Option<&str>) -> &Lane {
-        for lane in &self.lanes {
-            if lane.arm.is_none() || lane.arm.as_deref() == arm {
-                return lane;
+    /// The pool that serves an arm.
+    pub(super) fn for_arm(&self, arm: Option<&str>) -> &SlotPool {
+        for pool in &self.pools {
+            if pool.arm.is_none() || pool.arm.as_deref() == arm {
+                return pool;
             }
         }
-        unreachable!("the last lane takes every arm")
+        unreachable!("the last pool serves every arm")
     }
 
-    /// How many slots are in use, over all lanes.
+    /// Number of slots in use over all pools.
     pub(super) fn running(&self) -> u32 {
-        self.lanes.iter().map(Lane::running).sum()
+        self.pools.iter().map(SlotPool::running).sum()
     }
 }
--- a/src/standin/target/state.rs
+++ b/src/standin/target/state.rs
@@ -1,4 +1,4 @@
-//! What all calls of a target share.
+//! State of a target that its calls share.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -10,83 +10,83 @@
 
 use super::cancel::Cancellations;
 use super::fault::Fault;
-use super::lanes::Lanes;
-use super::ledger::Ledger;
+use super::run_stats::RunStats;
 use super::settings::TargetSettings;
+use super::slots::SlotPools;
 
-/// What all calls of a target share.
+/// State of a target that its calls share.
 #[derive(Debug)]
-pub(super) struct Shared {
-    /// What the target was told.
+pub(super) struct TargetState {
+    /// The settings of the target.
     pub(super) settings: TargetSettings,
-    /// When it started.
+    /// When the target started.
     pub(super) started: Instant,
-    /// Its slots.
-    pub(super) lanes: Lanes,
-    /// Calls that can be cancelled.
+    /// The slots of the target.
+    pub(super) slot_pools: SlotPools,
+    /// Calls in flight that can be cancelled.
     pub(super) cancellations: Cancellations,
-    /// Its client, for its own calls.
+    /// HTTP client for child calls and announcements.
     pub(super) client: Client,
-    /// Whether it takes no new calls for good.
+    /// Whether new calls are rejected; never reset.
     draining: AtomicBool,
-    /// What it ran.
-    ledger: Mutex<Ledger>,
-    /// The fault last ordered.
+    /// Counters of runs.
+    run_stats: Mutex<RunStats>,
+    /// The fault last requested; it may have expired.
     fault: Mutex<Fault>,
-    /// Where its times are drawn from.
+    /// Random generator of service times.
     random: Mutex<SmallRng>,
 }
 
-impl Shared {
+impl TargetState {
     /// The state of a target that starts now.
     pub(super) fn new(settings: TargetSettings, client: Client) -> Self {
-        let lanes = Lanes::new(settings.slots, &settings.lanes, settings.queue_max);
+        let slot_pools = SlotPools::new(settings.slots, &settings.arm_slots, settings.queue_max);
         let random = SmallRng::seed_from_u64(settings.seed);
         Self {
             settings,
             started: Instant::now(),
-            lanes,
+            slot_pools,
             cancellations: Cancellations::default(),
             client,
             draining: AtomicBool::new(false),
-            ledger: Mutex::default(),
+            run_stats: Mutex::default(),
             fault: Mutex::new(Fault::NONE),
             random: Mutex::new(random),
         }
     }
 
-    /// Takes no new calls from now on.
-    pub(super) fn drain(&self) {
+    /// Rejects new calls from now on.
+    pub(super) fn start_draining(&self) {
         self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Whether no new calls are taken.
+    /// Whether new calls are rejected.
     pub(super) fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// What the target ran.
-    pub(super) fn ledger(&self) -> MutexGuard<'_, Ledger> {
-        lock(&self.ledger)
+    /// Counters of runs.
+    pub(super) fn run_stats(&self) -> MutexGuard<'_, RunStats> {
+        lock(&self.run_stats)
     }
 
-    /// The source of its times.
+    /// Random generator of service times.
     pub(super) fn random(&self) -> MutexGuard<'_, SmallRng> {
         lock(&self.random)
     }
 
-    /// The fault in force now.
+    /// The fault in effect now.
     pub(super) fn fault(&self) -> Fault {
         lock(&self.fault).at(Instant::now())
     }
 
-    /// Puts a fault in force.
+    /// Injects a fault in place of the previous one.
     pub(super) fn set_fault(&self, fault: Fault) {
         *lock(&self.fault) = fault;
     }
 }
 
-/// Locks, also after a panic elsewhere: every change under these locks is one step.
+/// Locks and ignores poisoning: no change under these locks can be left incomplete by a panic.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/tests/standin_load.rs
+++ b/tests/standin_load.rs
@@ -8,7 +8,7 @@
     CallKind, LoadOptions, Outcome, Phase, Record, Series, Summary, Window, run, run_ms,
 };
 use aspenspring::standin::server::Server;
-use aspenspring::standin::target::{FaultMode, FaultOrder, Target, TargetSettings};
+use aspenspring::standin::target::{FaultMode, FaultRequest, Target, TargetSettings};
 use tokio::sync::mpsc;
 
 const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
@@ -154,7 +154,7 @@
     for record in records(&entry, "other 1 GET /shop/shop/{n}", 0).await {
         assert_eq!(record.outcome, Outcome::Good, "{record:?}");
     }
-    target.fault(&FaultOrder { mode: FaultMode::Truncate, factor: 1.0, for_ms: None });
+    target.inject_fault(&FaultRequest { mode: FaultMode::Truncate, factor: 1.0, for_ms: None });
     for record in records(&entry, "cut 1 GET /shop/pages/{n}", 0).await {
         assert_eq!(record.outcome, Outcome::Wrong, "{record:?}");
     }
--- a/tests/standin_target.rs
+++ b/tests/standin_target.rs
@@ -7,7 +7,7 @@
 use aspenspring::standin::client;
 use aspenspring::standin::exchange::Reply;
 use aspenspring::standin::server::Server;
-use aspenspring::standin::target::{FaultMode, FaultOrder, RunEnd, Target, TargetSettings};
+use aspenspring::standin::target::{FaultMode, FaultRequest, RunEnd, Target, TargetSettings};
 use reqwest::Client;
 
 const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
@@ -16,8 +16,8 @@
     client::client(Duration::from_secs(5)).expect("a client")
 }
 
-fn order(mode: FaultMode) -> FaultOrder {
-    FaultOrder { mode, factor: 1.0, for_ms: None }
+fn fault_request(mode: FaultMode) -> FaultRequest {
+    FaultRequest { mode, factor: 1.0, for_ms: None }
 }
 
 fn says_not_run(answer: &reqwest::Response) -> bool {
@@ -77,25 +77,25 @@
         assert_eq!(answer.children.len(), 2);
         assert_eq!(answer.depth(), 2);
     }
-    child.fault(&order(FaultMode::Error));
+    child.inject_fault(&fault_request(FaultMode::Error));
     let settings = settings.calls(calls).build();
     let parent = Target::start(settings).expect("a target");
     let url = format!("{}/page", parent.url());
     let failed = http().post(url).header("aspenspring-call", "parent").send().await.unwrap();
     assert_eq!(failed.status(), 502);
     assert!(!says_not_run(&failed), "the parent ran");
-    assert_eq!(parent.ledger().ended[&RunEnd::ChildFailed], 1);
+    assert_eq!(parent.run_stats().ended[&RunEnd::ChildFailed], 1);
 }
 
 #[tokio::test]
 async fn a_call_that_expires_in_the_queue_was_not_run_and_frees_nothing_it_had_not() {
     let settings = TargetSettings::builder().service("s").name("s-1").listen(ANY).slots(1);
     let target = Target::start(settings.service_ms(0.0).build()).expect("a target");
-    target.fault(&order(FaultMode::Stall));
+    target.inject_fault(&fault_request(FaultMode::Stall));
     let url = format!("{}/page", target.url());
     let first = http().get(&url).header("idempotency-key", "k1").header("aspenspring-call", "c1");
     let first = tokio::spawn(first.send());
-    until(|| target.ledger().runs == 1).await;
+    until(|| target.run_stats().runs == 1).await;
 
     let second = http().get(&url).header("aspenspring-deadline-ms", "20").send().await.unwrap();
     assert_eq!(second.status(), 504);
@@ -108,42 +108,42 @@
     assert_eq!(first.status(), 504);
     assert!(!says_not_run(&first), "it ran before it was cancelled");
 
-    target.fault(&order(FaultMode::Ok));
+    target.inject_fault(&fault_request(FaultMode::Ok));
     let third = http().get(&url).header("idempotency-key", "k1").send().await.unwrap();
     assert_eq!(third.status(), 200, "the slot was freed");
-    let ledger = target.ledger();
-    assert_eq!(ledger.runs_by_key["k1"], 2);
-    assert_eq!((ledger.runs, ledger.never_run), (2, 1));
-    assert_eq!(ledger.ended[&RunEnd::Cancelled], 1);
+    let run_stats = target.run_stats();
+    assert_eq!(run_stats.runs_by_key["k1"], 2);
+    assert_eq!((run_stats.runs, run_stats.never_run), (2, 1));
+    assert_eq!(run_stats.ended[&RunEnd::Cancelled], 1);
 }
 
 #[tokio::test]
 async fn a_running_call_stops_at_its_deadline_and_does_not_claim_not_run() {
     let settings = TargetSettings::builder().service("s").name("s-1").listen(ANY).slots(1);
     let target = Target::start(settings.build()).expect("a target");
-    target.fault(&order(FaultMode::Stall));
+    target.inject_fault(&fault_request(FaultMode::Stall));
     let url = format!("{}/page", target.url());
     let late = http().get(&url).header("aspenspring-deadline-ms", "20").send().await.unwrap();
     assert_eq!(late.status(), 504);
     assert!(!says_not_run(&late));
-    assert_eq!(target.ledger().ended[&RunEnd::Expired], 1);
+    assert_eq!(target.run_stats().ended[&RunEnd::Expired], 1);
 }
 
 #[tokio::test]
-async fn arms_with_lanes_of_their_own_do_not_disturb_each_other() {
+async fn arms_with_dedicated_slots_do_not_disturb_each_other() {
     let settings = TargetSettings::builder().service("s").name("s-1").listen(ANY).slots(1);
-    let settings = settings.lanes(vec![("a".to_owned(), 1)]).queue_max(0);
+    let settings = settings.arm_slots(vec![("a".to_owned(), 1)]).queue_max(0);
     let target = Target::start(settings.service_ms(0.0).build()).expect("a target");
-    target.fault(&order(FaultMode::Stall));
+    target.inject_fault(&fault_request(FaultMode::Stall));
     let url = format!("{}/page", target.url());
     let busy = tokio::spawn(http().get(&url).header("aspenspring-arm", "a").send());
-    until(|| target.ledger().runs == 1).await;
+    until(|| target.run_stats().runs == 1).await;
     let full = http().get(&url).header("aspenspring-arm", "a").send().await.unwrap();
     assert_eq!(full.status(), 503);
     assert!(says_not_run(&full));
     let other = tokio::spawn(http().get(&url).header("aspenspring-arm", "b").send());
-    until(|| target.ledger().runs == 2).await;
-    target.fault(&order(FaultMode::Ok));
+    until(|| target.run_stats().runs == 2).await;
+    target.inject_fault(&fault_request(FaultMode::Ok));
     assert_eq!(busy.await.unwrap().unwrap().status(), 200);
     assert_eq!(other.await.unwrap().unwrap().status(), 200);
 }
@@ -153,27 +153,27 @@
     let settings = TargetSettings::builder().service("s").name("s-1").listen(ANY);
     let target = Target::start(settings.service_ms(0.0).build()).expect("a target");
     let url = format!("{}/page", target.url());
-    target.fault(&order(FaultMode::Close));
+    target.inject_fault(&fault_request(FaultMode::Close));
     assert!(http().get(&url).send().await.is_err());
-    target.fault(&order(FaultMode::Truncate));
+    target.inject_fault(&fault_request(FaultMode::Truncate));
     let cut = http().get(&url).send().await.expect("a status line");
     assert!(cut.bytes().await.is_err());
-    assert_eq!(target.ledger().runs, 2, "both were run, and neither was sent again");
+    assert_eq!(target.run_stats().runs, 2, "both were run, and neither was sent again");
 }
 
 #[tokio::test]
 async fn a_target_that_leaves_finishes_what_it_runs() {
     let settings = TargetSettings::builder().service("s").name("s-1").listen(ANY);
     let target = Target::start(settings.service_ms(0.0).build()).expect("a target");
-    target.fault(&order(FaultMode::Stall));
+    target.inject_fault(&fault_request(FaultMode::Stall));
     let url = format!("{}/page", target.url());
     let running = tokio::spawn(http().get(&url).send());
-    until(|| target.ledger().runs == 1).await;
+    until(|| target.run_stats().runs == 1).await;
     let drain = format!("{}/_aspenspring/drain", target.url());
     assert_eq!(http().post(drain).send().await.unwrap().status(), 204);
     let late = http().get(&url).send().await.unwrap();
     assert!(late.status() == 503 && says_not_run(&late));
-    target.fault(&order(FaultMode::Ok));
-    assert_eq!(target.leave(Duration::from_secs(5)).await, 0);
+    target.inject_fault(&fault_request(FaultMode::Ok));
+    assert_eq!(target.drain(Duration::from_secs(5)).await, 0);
     assert_eq!(running.await.unwrap().unwrap().status(), 200);
 }
