--- a/src/standin/cli/load.rs
+++ b/src/standin/cli/load.rs
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc;
 
 use crate::standin::load::{
-    CallKind, LoadOptions, Order, Outcome, Phase, Record, Summary, Window, run, run_ms,
+    CallKind, LoadOptions, Outcome, Phase, Record, ScheduledPost, Summary, Window, run, run_ms,
 };
 
 /// Worker threads of the load program.
@@ -47,7 +47,7 @@
     pub polite: bool,
     /// something to post at a set time, 'TIME URL BODY', as a fault; may be repeated
     #[argh(option)]
-    pub at: Vec<Order>,
+    pub at: Vec<ScheduledPost>,
     /// when the trigger of overload is there, as 10s..20s, for the recovery time
     #[argh(option)]
     pub trigger: Option<Window>,
@@ -73,7 +73,7 @@
         .depth(args.depth)
         .retries(args.retries)
         .polite(args.polite)
-        .orders(args.at.clone())
+        .scheduled_posts(args.at.clone())
         .maybe_trigger(args.trigger)
         .seed(args.seed)
         .build();
@@ -143,14 +143,14 @@
             group.offered - good - not_run - may_have_run,
             group.attempts,
             group.goodput_per_s,
-            shown(group.good_p50_ms),
-            shown(group.good_p99_ms),
+            format_ms(group.good_p50_ms),
+            format_ms(group.good_p99_ms),
             group.recovery_ms.map_or("-".to_owned(), |recovery_ms| recovery_ms.to_string()),
         );
     }
 }
 
 /// A time with one decimal, or a dash.
-fn shown(value_ms: Option<f64>) -> String {
+fn format_ms(value_ms: Option<f64>) -> String {
     value_ms.map_or("-".to_owned(), |value_ms| format!("{value_ms:.1}"))
 }
--- a/src/standin/load/call.rs
+++ b/src/standin/load/call.rs
@@ -1,4 +1,4 @@
-//! The kinds of calls of a run, and what else happens at set times.
+//! The kinds of calls of a load run, and requests posted at scheduled times.
 
 use std::str::FromStr;
 
@@ -6,44 +6,44 @@
 
 use super::phase::{ParseError, parse_ms};
 
-/// What is replaced by a call's number in a path.
+/// Placeholder for the number of the call in a path.
 const NUMBER: &str = "{n}";
 
 /// Where the idempotency key of a call comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeySource {
-    /// It has none.
+    /// The call has no key.
     None,
-    /// The load program makes it up.
-    Own,
-    /// A node mints it.
-    Minted,
+    /// The load program generates the key.
+    LoadProgram,
+    /// The load program requests a key from a node before the call.
+    Node,
 }
 
-/// One kind of calls.
+/// A kind of calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallKind {
-    /// Its name in the summary.
+    /// Name in the records and the summary.
     pub name: String,
-    /// How often it comes, against the weights of the others.
+    /// Relative frequency among the kinds of the run.
     pub weight: f64,
     /// The method.
     pub method: Method,
-    /// The service and the path, with `{n}` for the number of the call.
+    /// `/SERVICE/PATH`, where `{n}` stands for the number of the call.
     pub path: String,
-    /// Where its idempotency key comes from.
+    /// Source of the idempotency key.
     pub key: KeySource,
 }
 
 impl CallKind {
-    /// The service that is called.
+    /// The name of the service called.
     pub fn service(&self) -> &str {
         let path = self.path.trim_start_matches('/');
         path.split_once('/').map_or(path, |(service, _)| service)
     }
 
-    /// The path of one call, service included.
-    pub fn path_of(&self, number: u64) -> String {
+    /// The path of one call, including the service.
+    pub fn path_for(&self, number: u64) -> String {
         self.path.replace(NUMBER, &number.to_string())
     }
 }
@@ -52,9 +52,9 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let wanted = "NAME WEIGHT METHOD /SERVICE/PATH [own|minted], as \
+        let expected = "NAME WEIGHT METHOD /SERVICE/PATH [own|minted], as \
                       'browse 80 GET /souq-catalogue/pages/{n}'";
-        let error = || ParseError::new(text, wanted);
+        let error = || ParseError::new(text, expected);
         let mut words = text.split_whitespace();
         let name = words.next().ok_or_else(error)?.to_owned();
         let weight: f64 = words.next().and_then(|word| word.parse().ok()).ok_or_else(error)?;
@@ -62,30 +62,30 @@
         let path = words.next().ok_or_else(error)?.to_owned();
         let key = match words.next() {
             None => KeySource::None,
-            Some("own") => KeySource::Own,
-            Some("minted") => KeySource::Minted,
+            Some("own") => KeySource::LoadProgram,
+            Some("minted") => KeySource::Node,
             Some(_) => return Err(error()),
         };
-        let below_service = path.strip_prefix('/').is_some_and(|path| path.contains('/'));
-        if words.next().is_some() || !below_service || !weight.is_finite() || weight <= 0.0 {
+        let has_path = path.strip_prefix('/').is_some_and(|path| path.contains('/'));
+        if words.next().is_some() || !has_path || !weight.is_finite() || weight <= 0.0 {
             return Err(error());
         }
         Ok(Self { name, weight, method, path, key })
     }
 }
 
-/// Something that is posted at a set time: above all a fault.
+/// A request that is posted at a scheduled time, usually to inject a fault.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
-    /// When, in milliseconds since the start of the run.
+pub struct ScheduledPost {
+    /// Time in milliseconds since the start of the run.
     pub at_ms: u64,
-    /// Where to.
+    /// The URL.
     pub url: Url,
-    /// The body, in JSON.
+    /// The JSON body.
     pub body: String,
 }
 
-impl FromStr for Order {
+impl FromStr for ScheduledPost {
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
--- a/src/standin/load/client.rs
+++ b/src/standin/load/client.rs
@@ -1,4 +1,4 @@
-//! One client of a run: a call with its attempts.
+//! Makes the calls of a load run, with their retries, and classifies the responses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,49 +13,49 @@
 use super::record::{Outcome, Record};
 use crate::standin::fetch::{Fetch, FetchError, Reply};
 
-/// How much longer than the deadline a client waits for a verdict, in milliseconds.
+/// How long after the deadline a client still waits for a response, which carries the verdict.
 const VERDICT_GRACE_MS: u64 = 250;
 
-/// What all clients of a run share.
+/// State shared by all calls of a run.
 #[derive(Debug)]
-pub(super) struct Clients {
+pub(super) struct LoadClient {
     /// The HTTP client.
     pub(super) http: Client,
-    /// What the run was told.
+    /// The options of the run.
     pub(super) options: LoadOptions,
-    /// A number that tells this run's keys from those of others.
-    pub(super) run: u64,
+    /// Random part of generated idempotency keys, which keeps them apart from those of other runs.
+    pub(super) run_id: u64,
 }
 
-/// One call that is due.
+/// A call with the time at which it is due.
 #[derive(Clone, Debug)]
-pub(super) struct Due {
-    /// Its number.
+pub(super) struct ScheduledCall {
+    /// Number of the call in the run, from 0.
     pub(super) number: u64,
-    /// Its kind, as an index.
+    /// Index of the kind in [`LoadOptions::calls`].
     pub(super) kind: usize,
-    /// When it is due, in milliseconds since the start of the run.
+    /// Due time in milliseconds since the start of the run.
     pub(super) at_ms: f64,
-    /// The same, as an instant.
+    /// The same time as an instant.
     pub(super) at: Instant,
 }
 
-/// The answer of a node that mints a key.
+/// Response of a node to a request for a key.
 #[derive(Deserialize)]
 struct MintedKey {
     idempotency_key: String,
 }
 
-impl Clients {
-    /// Makes one call, with as many attempts as clients make.
-    pub(super) async fn call(self: Arc<Self>, due: Due) -> Record {
-        let kind = &self.options.calls[due.kind];
-        let key = self.key(kind, due.number).await;
-        let mut record = self.blank(&due, key);
+impl LoadClient {
+    /// Makes one call, including the retries that the options allow.
+    pub(super) async fn make_call(self: Arc<Self>, scheduled: ScheduledCall) -> Record {
+        let kind = &self.options.calls[scheduled.kind];
+        let key = self.idempotency_key(kind, scheduled.number).await;
+        let mut record = self.new_record(&scheduled, key);
         for attempt in 0..=self.options.retries {
             record.attempts = attempt + 1;
-            let retry_after = self.attempt(kind, &due, &mut record).await;
-            record.took_ms = due.at.elapsed().as_secs_f64() * 1_000.0;
+            let retry_after = self.attempt(kind, &scheduled, &mut record).await;
+            record.took_ms = scheduled.at.elapsed().as_secs_f64() * 1_000.0;
             if record.outcome == Outcome::Good && record.took_ms > self.options.deadline_ms as f64 {
                 record.outcome = Outcome::Late;
             }
@@ -77,15 +77,16 @@
         record
     }
 
-    /// A call that could not be made at all.
-    pub(super) fn not_sent(&self, due: &Due) -> Record {
-        self.blank(due, None)
+    /// The record of a call that was not sent.
+    pub(super) fn unsent_record(&self, scheduled: &ScheduledCall) -> Record {
+        self.new_record(scheduled, None)
     }
 
-    fn blank(&self, due: &Due, key: Option<String>) -> Record {
+    /// A record without any attempts, with the outcome [`Outcome::Broken`].
+    fn new_record(&self, scheduled: &ScheduledCall, key: Option<String>) -> Record {
         Record {
-            at_ms: due.at_ms,
-            kind: self.options.calls[due.kind].name.clone(),
+            at_ms: scheduled.at_ms,
+            kind: self.options.calls[scheduled.kind].name.clone(),
             arm: String::new(),
             outcome: Outcome::Broken,
             status: 0,
@@ -97,29 +98,35 @@
         }
     }
 
-    /// The node a call goes to in one of its attempts.
-    fn node(&self, number: u64) -> &Url {
+    /// The node for a call number plus attempt index; nodes take turns.
+    fn node_url(&self, number: u64) -> &Url {
         &self.options.nodes[(number % self.options.nodes.len() as u64) as usize]
     }
 
-    /// The key of a call; none where its kind has none or none could be had.
-    async fn key(&self, kind: &CallKind, number: u64) -> Option<String> {
+    /// The key of a call; none where its kind has none or the node did not issue one.
+    async fn idempotency_key(&self, kind: &CallKind, number: u64) -> Option<String> {
         match kind.key {
             KeySource::None => None,
-            KeySource::Own => Some(format!("load-{:016x}-{number}", self.run)),
-            KeySource::Minted => {
+            KeySource::LoadProgram => Some(format!("load-{:016x}-{number}", self.run_id)),
+            KeySource::Node => {
                 let path = format!("/_aspenspring/keys/{}", kind.service());
-                let url = self.node(number).join(&path).ok()?;
+                let url = self.node_url(number).join(&path).ok()?;
                 let minted = self.http.post(url).send().await.ok()?;
                 Some(minted.json::<MintedKey>().await.ok()?.idempotency_key)
             }
         }
     }
 
-    /// Makes one attempt and notes what became of it; gives how long to wait before another.
-    async fn attempt(&self, kind: &CallKind, due: &Due, record: &mut Record) -> Duration {
-        let node = self.node(due.number + u64::from(record.attempts) - 1);
-        let Ok(url) = node.join(&kind.path_of(due.number)) else { return Duration::ZERO };
+    /// Makes one attempt and stores its outcome in `record`. Returns how long to wait before a retry,
+    /// as told by the response.
+    async fn attempt(
+        &self,
+        kind: &CallKind,
+        scheduled: &ScheduledCall,
+        record: &mut Record,
+    ) -> Duration {
+        let node = self.node_url(scheduled.number + u64::from(record.attempts) - 1);
+        let Ok(url) = node.join(&kind.path_for(scheduled.number)) else { return Duration::ZERO };
         let deadline_ms = self.options.deadline_ms;
         let mut headers = vec![("aspenspring-deadline-ms".to_owned(), deadline_ms.to_string())];
         if let Some(key) = &record.key {
@@ -127,7 +134,7 @@
         }
         let body = match kind.method {
             Method::GET => Vec::new(),
-            _ => format!("{{\"n\":{}}}", due.number).into_bytes(),
+            _ => format!("{{\"n\":{}}}", scheduled.number).into_bytes(),
         };
         let method = kind.method.clone();
         let fetch = Fetch { method, url, is_direct: false, body, headers };
@@ -138,7 +145,7 @@
                 (Outcome::Wrong, Some(fetched.reply))
             }
             Ok(Ok(fetched)) => (Outcome::Good, Some(fetched.reply)),
-            Ok(Err(FetchError::Refused(reply))) => (refused(&reply), Some(reply)),
+            Ok(Err(FetchError::Refused(reply))) => (classify_error(&reply), Some(reply)),
             Ok(Err(FetchError::Wrong(reply))) => (Outcome::Wrong, Some(reply)),
             Ok(Err(_)) | Err(_) => (Outcome::Broken, None),
         };
@@ -153,8 +160,8 @@
     }
 }
 
-/// What became of a call that was answered with an error.
-fn refused(reply: &Reply) -> Outcome {
+/// The outcome of a call that was answered with an error, by the verdict of the node.
+fn classify_error(reply: &Reply) -> Outcome {
     let verdict = reply.header("aspenspring-verdict");
     match verdict.split(';').next().unwrap_or("") {
         "not-run" => Outcome::NotRun,
--- a/src/standin/load/options.rs
+++ b/src/standin/load/options.rs
@@ -1,45 +1,45 @@
-//! What a run is told.
+//! Options of a load run.
 
 use bon::Builder;
 use reqwest::Url;
 
-use super::call::{CallKind, Order};
+use super::call::{CallKind, ScheduledPost};
 use super::phase::{Phase, Window};
 
-/// What a run is told.
+/// Options of a load run.
 #[derive(Builder, Clone, Debug)]
 pub struct LoadOptions {
-    /// Base URLs of the nodes that are called, in turn.
+    /// Base URLs of the nodes; calls go to them in turn.
     pub nodes: Vec<Url>,
     /// The kinds of calls.
     pub calls: Vec<CallKind>,
-    /// The phases, one after the other.
+    /// The phases, in order.
     pub phases: Vec<Phase>,
-    /// What the phases' multiples refer to, in calls a second.
+    /// Capacity that [`Rate::TimesCapacity`](super::Rate) refers to, in calls per second.
     #[builder(default = 100.0)]
     pub capacity_per_s: f64,
-    /// How long an answer is of use, in milliseconds.
+    /// Deadline of each call, in milliseconds.
     #[builder(default = 1_000)]
     pub deadline_ms: u64,
-    /// How many services deep a whole answer is at least.
+    /// Least depth of a complete answer, in services.
     #[builder(default = 1)]
     pub depth: usize,
-    /// How often a client sends a call again that gave no whole answer.
+    /// Maximum number of retries of a call that got no complete answer.
     #[builder(default)]
     pub retries: u32,
-    /// Whether clients retry only what was not run, and wait as long as they are told; otherwise
-    /// they retry everything at once.
+    /// Whether clients retry only calls that did not run and honour `retry-after`; otherwise they
+    /// retry all failed calls immediately.
     #[builder(default)]
     pub polite: bool,
-    /// How many calls may be under way at once; what would be more counts as broken.
+    /// Maximum number of calls in flight; further calls are not sent and count as broken.
     #[builder(default = 20_000)]
     pub in_flight_max: usize,
-    /// What is posted at set times.
+    /// Requests posted at scheduled times.
     #[builder(default)]
-    pub orders: Vec<Order>,
-    /// When the trigger of overload was there, for the recovery time.
+    pub scheduled_posts: Vec<ScheduledPost>,
+    /// When the cause of overload is present; the recovery time counts from its end.
     pub trigger: Option<Window>,
-    /// The seed of arrivals and kinds.
+    /// Seed of the arrival times and kinds.
     #[builder(default = 1)]
     pub seed: u64,
 }
--- a/src/standin/load/phase.rs
+++ b/src/standin/load/phase.rs
@@ -1,4 +1,4 @@
-//! How many calls are offered, and when.
+//! Phases of a load run, and time spans read from text.
 
 use std::str::FromStr;
 
@@ -7,52 +7,52 @@
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
 
-/// A stretch of time with one rate of calls.
+/// A period of a run with a constant mean rate of calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Phase {
-    /// The rate.
+    /// Mean rate of calls.
     pub rate: Rate,
-    /// How long it lasts, in milliseconds.
-    pub for_ms: u64,
+    /// Duration in milliseconds.
+    pub duration_ms: u64,
 }
 
 /// A rate of calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Rate {
-    /// Calls a second.
+    /// Calls per second.
     PerSecond(f64),
-    /// A multiple of the capacity that the run was told.
+    /// A multiple of the capacity in the options of the run.
     TimesCapacity(f64),
 }
 
 /// A span of time since the start of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Window {
-    /// Its beginning, in milliseconds.
+    /// Start (inclusive), in milliseconds.
     pub from_ms: u64,
-    /// Its end, in milliseconds.
+    /// End (exclusive), in milliseconds.
     pub to_ms: u64,
 }
 
-/// A text that is no phase, window or time.
+/// An argument that could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{text:?} is not {wanted}")]
+#[error("{text:?} is not {expected}")]
 pub struct ParseError {
-    /// The text.
+    /// The rejected text.
     text: String,
-    /// What would be accepted.
-    wanted: &'static str,
+    /// The accepted format.
+    expected: &'static str,
 }
 
 impl ParseError {
-    /// An error about `text`, where `wanted` would have been accepted.
-    pub(super) fn new(text: &str, wanted: &'static str) -> Self {
-        Self { text: text.to_owned(), wanted }
+    /// An error for `text` that does not have the format `expected`.
+    pub(super) fn new(text: &str, expected: &'static str) -> Self {
+        Self { text: text.to_owned(), expected }
     }
 }
 
 impl Rate {
-    /// Calls a second.
+    /// The rate in calls per second.
     pub fn per_second(self, capacity_per_s: f64) -> f64 {
         match self {
             Self::PerSecond(rate) => rate,
@@ -65,17 +65,17 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let wanted = "RATE:TIME, as 120:10s (calls a second) or 0.5x:10s (times the capacity)";
-        let error = || ParseError::new(text, wanted);
+        let expected = "RATE:TIME, as 120:10s (calls a second) or 0.5x:10s (times the capacity)";
+        let error = || ParseError::new(text, expected);
         let (rate, time) = text.split_once(':').ok_or_else(error)?;
         let number = rate.strip_suffix('x').unwrap_or(rate);
-        let number: f64 = number.parse().map_err(|_| error())?;
-        if !number.is_finite() || number < 0.0 {
+        let value: f64 = number.parse().map_err(|_| error())?;
+        if !value.is_finite() || value < 0.0 {
             return Err(error());
         }
         let times = rate.ends_with('x');
-        let rate = if times { Rate::TimesCapacity(number) } else { Rate::PerSecond(number) };
-        Ok(Self { rate, for_ms: parse_ms(time)? })
+        let rate = if times { Rate::TimesCapacity(value) } else { Rate::PerSecond(value) };
+        Ok(Self { rate, duration_ms: parse_ms(time)? })
     }
 }
 
@@ -93,16 +93,16 @@
     }
 }
 
-/// Reads a time such as `1.5s` or `200ms`, in milliseconds.
+/// Parses a duration such as `1.5s` or `200ms` into milliseconds.
 pub(super) fn parse_ms(text: &str) -> Result<u64, ParseError> {
     let error = || ParseError::new(text, "a time, as 1.5s or 200ms");
     let (number, factor) = match text.strip_suffix("ms") {
         Some(number) => (number, 1.0),
         None => (text.strip_suffix('s').ok_or_else(error)?, MS_PER_S),
     };
-    let number: f64 = number.parse().map_err(|_| error())?;
-    if !number.is_finite() || number < 0.0 {
+    let value: f64 = number.parse().map_err(|_| error())?;
+    if !value.is_finite() || value < 0.0 {
         return Err(error());
     }
-    Ok((number * factor).round() as u64)
+    Ok((value * factor).round() as u64)
 }
--- a/src/standin/load/record.rs
+++ b/src/standin/load/record.rs
@@ -1,49 +1,49 @@
-//! What became of one call of a run.
+//! The record of one call of a load run.
 
 use serde::{Deserialize, Serialize};
 
-/// What became of a call, as its client saw it.
+/// The outcome of a call as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// A whole and correct answer within the deadline.
+    /// A complete and correct answer within the deadline.
     Good,
-    /// A whole and correct answer after the deadline.
+    /// A complete and correct answer after the deadline.
     Late,
-    /// An answer that was not whole or not to this call.
+    /// An answer that is incomplete or does not belong to this call.
     Wrong,
-    /// An error of the target.
+    /// An error response without the verdict "not run" or "may have run".
     Failed,
-    /// A refusal: it was not run.
+    /// A refusal: the call did not run.
     NotRun,
-    /// Nobody can say whether it was run.
+    /// It is unknown whether the call ran.
     MayHaveRun,
-    /// No answer at all.
+    /// No response, or the call was not sent.
     Broken,
 }
 
-/// What became of one call, with all of its client's attempts.
+/// The record of one call, over all attempts of its client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// When the call was due, in milliseconds since the start of the run.
+    /// Due time of the call, in milliseconds since the start of the run.
     pub at_ms: f64,
-    /// The kind of the call.
+    /// Name of the kind of the call.
     pub kind: String,
-    /// The policy arm that decided, as the last answer told it; empty where it did not.
+    /// The policy arm named in the last response; empty if none.
     pub arm: String,
-    /// What became of it.
+    /// The outcome of the last attempt.
     pub outcome: Outcome,
-    /// The status of the last answer; 0 without one.
+    /// Status of the last response; 0 if none.
     pub status: u16,
-    /// The verdict of the last answer; empty without one.
+    /// Verdict in the last response; empty if none.
     pub verdict: String,
-    /// From the moment the call was due to the last byte of the last answer, in milliseconds.
+    /// Time from the due time to the end of the last attempt, in milliseconds.
     pub took_ms: f64,
-    /// Attempts of the client.
+    /// Number of attempts of the client.
     pub attempts: u32,
-    /// The whole request, as the last answer told it.
+    /// Identifier of the root request in the last response; empty if none.
     pub root: String,
-    /// The idempotency key, where there was one.
+    /// The idempotency key, if the call had one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
 }
--- a/src/standin/load/recovery.rs
+++ b/src/standin/load/recovery.rs
@@ -1,39 +1,39 @@
-//! How long goodput takes to come back after a trigger of overload.
+//! Measures how long goodput takes to recover after the cause of overload is gone.
 
 use super::phase::Window;
 
 /// The width of a bucket, in milliseconds.
 pub const BUCKET_MS: u64 = 100;
-/// How many buckets one look spans, so that single calls do not decide.
-const LOOK_BUCKETS: usize = 5;
-/// The share of the goodput before that counts as recovered.
+/// Buckets over which the good share is averaged, so that single calls do not decide.
+const SPAN_BUCKETS: usize = 5;
+/// Fraction of the good share before the trigger at which goodput counts as recovered.
 const RECOVERED_SHARE: f64 = 0.95;
-/// How much of a run's beginning is left out of the goodput before, in milliseconds.
+/// Start of the run that does not count in the good share before the trigger, in milliseconds.
 const WARM_UP_MS: u64 = 1_000;
 
-/// Calls by the time they were due.
+/// Calls counted by due time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Series {
     /// Calls due in each bucket.
     pub offered: Vec<u64>,
-    /// Those of them that came to a good end.
+    /// Calls due in each bucket whose outcome was good.
     pub good: Vec<u64>,
 }
 
 impl Series {
     /// Counts a call.
-    pub fn add(&mut self, at_ms: f64, good: bool) {
+    pub fn record(&mut self, at_ms: f64, is_good: bool) {
         let bucket = (at_ms.max(0.0) as u64 / BUCKET_MS) as usize;
         if self.offered.len() <= bucket {
             self.offered.resize(bucket + 1, 0);
             self.good.resize(bucket + 1, 0);
         }
         self.offered[bucket] += 1;
-        self.good[bucket] += u64::from(good);
+        self.good[bucket] += u64::from(is_good);
     }
 
-    /// The share of good calls among those due from one bucket to another; none without calls.
-    fn share(&self, from: usize, to: usize) -> Option<f64> {
+    /// The share of good calls in the buckets `from..to`; none without calls.
+    fn good_share(&self, from: usize, to: usize) -> Option<f64> {
         let to = to.min(self.offered.len());
         if from >= to {
             return None;
@@ -43,28 +43,30 @@
         (offered > 0).then(|| good as f64 / offered as f64)
     }
 
-    /// The share of good calls before the trigger, without the run's first second.
+    /// The share of good calls before the trigger, without the first second of the run.
     pub fn share_before(&self, trigger: Window) -> Option<f64> {
-        let warm = bucket_of(WARM_UP_MS).min(bucket_of(trigger.from_ms));
-        self.share(warm, bucket_of(trigger.from_ms))
+        let first = bucket_index(WARM_UP_MS).min(bucket_index(trigger.from_ms));
+        self.good_share(first, bucket_index(trigger.from_ms))
     }
 
-    /// How long after the trigger's end the share of good calls is back to 95% of its share before
-    /// and stays there until the end of the run, in milliseconds.
+    /// Time in milliseconds from the end of the trigger until the good share is back at 95% of its
+    /// value before the trigger and stays there until the end of the run.
     ///
-    /// Shares, not counts, are compared, so that the chance in arrivals falls out; the rate after the
-    /// trigger has to be the one before. None where it does not come back, or where either side has
-    /// no calls.
+    /// Shares are compared instead of counts, so that random variation of arrivals cancels out; the
+    /// offered rate must be the same before and after the trigger. None where goodput does not
+    /// recover, or where either side has no calls.
     pub fn recovery_ms(&self, trigger: Window) -> Option<u64> {
-        let wanted = self.share_before(trigger)? * RECOVERED_SHARE;
-        let end = bucket_of(trigger.to_ms);
-        let last = self.offered.len().checked_sub(LOOK_BUCKETS)?;
-        if wanted == 0.0 || last < end {
+        let required_share = self.share_before(trigger)? * RECOVERED_SHARE;
+        let end = bucket_index(trigger.to_ms);
+        let last = self.offered.len().checked_sub(SPAN_BUCKETS)?;
+        if required_share == 0.0 || last < end {
             return None;
         }
         let mut recovered_at = None;
         for from in (end..=last).rev() {
-            let reached = self.share(from, from + LOOK_BUCKETS).is_none_or(|share| share >= wanted);
+            let reached = self
+                .good_share(from, from + SPAN_BUCKETS)
+                .is_none_or(|share| share >= required_share);
             if !reached {
                 break;
             }
@@ -74,7 +76,7 @@
     }
 }
 
-/// The bucket a time falls into.
-fn bucket_of(at_ms: u64) -> usize {
+/// The index of the bucket that contains a time.
+fn bucket_index(at_ms: u64) -> usize {
     (at_ms / BUCKET_MS) as usize
 }
--- a/src/standin/load/summary.rs
+++ b/src/standin/load/summary.rs
@@ -8,35 +8,35 @@
 use super::record::{Outcome, Record};
 use super::recovery::Series;
 
-/// The name of the line over all kinds or all arms.
+/// Name of a group over all kinds or all arms.
 const ALL: &str = "all";
 
-/// The calls of one kind and arm.
+/// Figures of the calls of one kind and arm.
 #[derive(Clone, Debug, Serialize)]
 pub struct Group {
-    /// The kind, or `all`.
+    /// Name of the kind, or `all`.
     pub kind: String,
-    /// The arm, or `all`; empty where no answer told it.
+    /// Name of the policy arm, or `all`; empty where no response named one.
     pub arm: String,
-    /// Calls that were due.
+    /// Number of calls due.
     pub offered: u64,
-    /// Calls by what became of them.
+    /// Number of calls by outcome.
     pub outcomes: BTreeMap<Outcome, u64>,
-    /// Good calls a second, over the whole run.
+    /// Good calls per second over the whole run.
     pub goodput_per_s: f64,
-    /// Attempts of the clients.
+    /// Number of attempts of the clients.
     pub attempts: u64,
-    /// The median time of good calls, in milliseconds.
+    /// Median latency of good calls, in milliseconds.
     pub good_p50_ms: Option<f64>,
-    /// The time of good calls that 99 in 100 stay under, in milliseconds.
+    /// 99th percentile latency of good calls, in milliseconds.
     pub good_p99_ms: Option<f64>,
-    /// The share of good calls before the trigger.
+    /// Share of good calls before the trigger.
     pub share_before: Option<f64>,
-    /// From the trigger's end until goodput is back and stays, in milliseconds.
+    /// Time from the end of the trigger until goodput has recovered for good, in milliseconds.
     pub recovery_ms: Option<u64>,
     /// Calls due in each bucket of 100 ms.
     pub offered_by_bucket: Vec<u64>,
-    /// Good calls among them.
+    /// Good calls among those due in each bucket.
     pub good_by_bucket: Vec<u64>,
 }
 
@@ -45,13 +45,13 @@
 pub struct Summary {
     /// How long calls were offered, in milliseconds.
     pub run_ms: u64,
-    /// All calls, then those of each kind, of each arm, and of each kind and arm.
+    /// One group for all calls, each kind, each arm, and each kind and arm, sorted by name.
     pub groups: Vec<Group>,
 }
 
-/// What is gathered for a group.
+/// Figures of a group before they are summarized.
 #[derive(Default)]
-struct Gathered {
+struct GroupStats {
     outcomes: BTreeMap<Outcome, u64>,
     attempts: u64,
     good_ms: Vec<f64>,
@@ -59,18 +59,18 @@
 }
 
 impl Summary {
-    /// Sums up a run of `run_ms`, with the trigger of overload where there was one.
+    /// Summarizes a run of `run_ms`, with the recovery time if there was a trigger of overload.
     pub fn new(records: &[Record], run_ms: u64, trigger: Option<Window>) -> Self {
-        let mut groups: BTreeMap<(&str, &str), Gathered> = BTreeMap::new();
+        let mut groups: BTreeMap<(&str, &str), GroupStats> = BTreeMap::new();
         for record in records {
             let (kind, arm) = (record.kind.as_str(), record.arm.as_str());
-            for group in [(ALL, ALL), (kind, ALL), (ALL, arm), (kind, arm)] {
-                groups.entry(group).or_default().add(record);
+            for key in [(ALL, ALL), (kind, ALL), (ALL, arm), (kind, arm)] {
+                groups.entry(key).or_default().add(record);
             }
         }
         let mut summary = Self { run_ms, groups: Vec::new() };
-        for ((kind, arm), gathered) in groups {
-            summary.groups.push(gathered.group(kind, arm, run_ms, trigger));
+        for ((kind, arm), stats) in groups {
+            summary.groups.push(stats.into_group(kind, arm, run_ms, trigger));
         }
         summary
     }
@@ -81,18 +81,18 @@
     }
 }
 
-impl Gathered {
+impl GroupStats {
     fn add(&mut self, record: &Record) {
-        let good = record.outcome == Outcome::Good;
+        let is_good = record.outcome == Outcome::Good;
         *self.outcomes.entry(record.outcome).or_default() += 1;
         self.attempts += u64::from(record.attempts);
-        self.series.add(record.at_ms, good);
-        if good {
+        self.series.record(record.at_ms, is_good);
+        if is_good {
             self.good_ms.push(record.took_ms);
         }
     }
 
-    fn group(mut self, kind: &str, arm: &str, run_ms: u64, trigger: Option<Window>) -> Group {
+    fn into_group(mut self, kind: &str, arm: &str, run_ms: u64, trigger: Option<Window>) -> Group {
         self.good_ms.sort_by(f64::total_cmp);
         Group {
             kind: kind.to_owned(),
--- a/tests/standin_load.rs
+++ b/tests/standin_load.rs
@@ -22,7 +22,7 @@
     let mut series = Series::default();
     for bucket in 0..buckets {
         for call in 0..10 {
-            series.add((bucket * 100 + call * 10) as f64, call < good(bucket));
+            series.record((bucket * 100 + call * 10) as f64, call < good(bucket));
         }
     }
     series
@@ -42,7 +42,7 @@
 
 #[test]
 fn phases_calls_and_windows_are_read_from_text() {
-    assert!("0.5x:10s".parse::<Phase>().is_ok_and(|phase| phase.for_ms == 10_000));
+    assert!("0.5x:10s".parse::<Phase>().is_ok_and(|phase| phase.duration_ms == 10_000));
     for wrong in ["", "5", "x:1s", "-1:1s", "1:1", "inf:1s"] {
         assert!(wrong.parse::<Phase>().is_err(), "{wrong:?}");
     }
