--- a/src/standin/answer.rs
+++ b/src/standin/answer.rs
@@ -1,22 +1,22 @@
-//! The answer of a stand-in target, by which a whole and correct answer is told from any other.
+//! The answer of a stand-in target, which echoes the request so that a caller can verify it.
 
 use serde::{Deserialize, Serialize};
 
-/// What a target saw of the request.
+/// The request as a target received it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// The method.
+    /// The HTTP method.
     pub method: String,
-    /// The path below the service, with its query.
+    /// The path below the service, including the query.
     pub path: String,
-    /// The length of the body.
+    /// The length of the body in bytes.
     pub body_bytes: u64,
-    /// The digest of the body.
+    /// The [`digest`] of the body.
     pub body_digest: String,
 }
 
 impl Echo {
-    /// The echo of a request.
+    /// The echo of a request; `path` excludes the service.
     pub fn new(method: &str, path: &str, body: &[u8]) -> Self {
         Self {
             method: method.to_owned(),
@@ -27,36 +27,37 @@
     }
 }
 
-/// The answer of a target, with the answers of the targets it called.
+/// The answer of a target, including the answers to its child calls.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The service that answers.
+    /// The service that the target belongs to.
     pub service: String,
-    /// The target that answers.
+    /// The name of the target.
     pub target: String,
-    /// What it saw of the request.
+    /// The request as the target received it.
     pub echo: Echo,
-    /// The answers of the services it called, in the order of its settings.
+    /// The answers to the child calls, in the order of the target's settings.
     pub children: Vec<Answer>,
 }
 
 impl Answer {
-    /// Whether this is `service`'s whole answer to `echo`, all the way down.
+    /// Whether this is an answer of `service` to the request of `echo`, and so are the answers to
+    /// all child calls.
     ///
-    /// Every target passes the method, the path and the body on, so each level has the same echo.
-    pub fn is_whole(&self, service: &str, echo: &Echo) -> bool {
+    /// Every target forwards the method, path and body, so all levels have the same echo.
+    pub fn is_complete(&self, service: &str, echo: &Echo) -> bool {
         if self.service != service || self.echo != *echo {
             return false;
         }
-        self.children.iter().all(|child| child.is_whole(&child.service, echo))
+        self.children.iter().all(|child| child.is_complete(&child.service, echo))
     }
 
-    /// How many services deep the answer is; 1 without children.
+    /// The number of levels in the tree of answers; 1 without children.
     pub fn depth(&self) -> usize {
         1 + self.children.iter().map(Self::depth).max().unwrap_or(0)
     }
 
-    /// The targets that worked for the answer, from the top, each as `service/target`.
+    /// All targets in the tree of answers in pre-order, each as `service/target`.
     pub fn targets(&self) -> Vec<String> {
         let mut targets = vec![format!("{}/{}", self.service, self.target)];
         for child in &self.children {
@@ -66,7 +67,7 @@
     }
 }
 
-/// FNV-1a in 64 bits, in hexadecimal: enough to notice a wrong or cut body, not to resist forgery.
+/// The 64-bit FNV-1a hash in hexadecimal. It detects wrong or truncated bodies, not forged ones.
 pub fn digest(bytes: &[u8]) -> String {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/src/standin/bench.rs
+++ b/src/standin/bench.rs
@@ -1,7 +1,8 @@
-//! The time that nodes add to a call: calls through nodes beside the same calls direct.
+//! Measures the latency that nodes add: calls through nodes compared with the same calls sent directly
+//! to targets.
 //!
 //! Closed loop: each client sends its next call when the last one has ended. Rounds through nodes
-//! and direct alternate, so that whatever else the machine does falls on both.
+//! and direct rounds alternate, so that other load on the machine affects both.
 
 use std::time::{Duration, Instant};
 
@@ -14,91 +15,94 @@
 use super::fetch::Fetch;
 use super::load::quantile;
 
-/// How long any call may take, in milliseconds.
-const CALL_MAX_MS: u64 = 10_000;
+/// Timeout of a call in milliseconds.
+const CALL_TIMEOUT_MS: u64 = 10_000;
 
-/// What a comparison is told.
+/// Options of a benchmark.
 #[derive(Builder, Clone, Debug)]
 pub struct BenchOptions {
-    /// Base URLs of the nodes that are called, in turn.
+    /// Base URLs of the nodes; clients are spread over them.
     pub nodes: Vec<Url>,
-    /// Base URLs of the same service's targets, in turn.
+    /// Base URLs of the targets of the same service; clients are spread over them.
     pub targets: Vec<Url>,
-    /// The service and the path.
+    /// `/SERVICE/PATH`.
     #[builder(into)]
     pub path: String,
-    /// How many clients there are, one comparison for each number.
+    /// Numbers of concurrent clients; each gives one comparison.
     pub concurrent: Vec<usize>,
-    /// How long one round lasts, in milliseconds.
+    /// Duration of a round in milliseconds.
     #[builder(default = 2_000)]
     pub round_ms: u64,
-    /// How many rounds there are of each sort; one more of each comes first and is not counted.
+    /// Number of rounds of each kind, after one warm-up round that is not counted.
     #[builder(default = 3)]
     pub rounds: u32,
 }
 
-/// The times of calls of one sort.
+/// Figures of the calls of one kind, direct or through nodes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Times {
-    /// Calls that gave a whole and correct answer.
+    /// Calls with a complete and correct answer.
     pub good: u64,
-    /// Calls that did not.
+    /// All other calls.
     pub bad: u64,
-    /// Good calls a second.
+    /// Good calls per second.
     pub per_s: f64,
-    /// Their median time, in milliseconds.
+    /// Median latency of good calls, in milliseconds.
     pub p50_ms: f64,
-    /// The time that 99 in 100 of them stay under, in milliseconds.
+    /// 99th percentile latency of good calls, in milliseconds.
     pub p99_ms: f64,
 }
 
 /// The comparison for one number of clients.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
-    /// The number of clients.
+    /// The number of concurrent clients.
     pub concurrent: usize,
-    /// Calls direct to the targets.
+    /// Calls sent directly to the targets.
     pub direct: Times,
     /// Calls through nodes.
     pub through: Times,
-    /// What nodes add to the median, in milliseconds.
+    /// Latency that nodes add to the median, in milliseconds.
     pub added_p50_ms: f64,
-    /// What nodes add to the 99th percentile, in milliseconds.
+    /// Latency that nodes add to the 99th percentile, in milliseconds.
     pub added_p99_ms: f64,
 }
 
-/// What one sort of calls gave so far.
+/// Results of the calls of one kind so far.
 #[derive(Debug, Default)]
-struct Gathered {
+struct Samples {
     good_ms: Vec<f64>,
     bad: u64,
 }
 
-/// Makes all comparisons, one after the other.
+/// Runs the comparisons in sequence.
 ///
 /// # Errors
 ///
-/// When the HTTP client cannot be made.
+/// When the HTTP client cannot be created.
 pub async fn run(options: &BenchOptions) -> Result<Vec<Comparison>, reqwest::Error> {
-    let http = client(Duration::from_millis(CALL_MAX_MS))?;
+    let http = client(Duration::from_millis(CALL_TIMEOUT_MS))?;
     let mut comparisons = Vec::new();
     for concurrent in &options.concurrent {
-        let through: Vec<Fetch> = fetches(&options.nodes, &options.path, false);
-        let direct: Vec<Fetch> = fetches(&options.targets, &options.path, true);
-        let mut of_direct = Gathered::default();
-        let mut of_through = Gathered::default();
+        let through: Vec<Fetch> = build_fetches(&options.nodes, &options.path, false);
+        let direct: Vec<Fetch> = build_fetches(&options.targets, &options.path, true);
+        let mut direct_samples = Samples::default();
+        let mut through_samples = Samples::default();
         for round in 0..=options.rounds {
-            for (fetches, gathered) in [(&direct, &mut of_direct), (&through, &mut of_through)] {
-                let found = one_round(&http, fetches, *concurrent, options.round_ms).await;
+            for (fetches, samples) in
+                [(&direct, &mut direct_samples), (&through, &mut through_samples)]
+            {
+                let round_samples = run_round(&http, fetches, *concurrent, options.round_ms).await;
                 if round == 0 {
                     continue;
                 }
-                gathered.good_ms.extend(found.good_ms);
-                gathered.bad += found.bad;
+                samples.good_ms.extend(round_samples.good_ms);
+                samples.bad += round_samples.bad;
             }
         }
         let seconds = (u64::from(options.rounds) * options.round_ms) as f64 / 1_000.0;
-        let (direct, through) = (of_direct.times(seconds), of_through.times(seconds));
+        let (direct, through) =
+            (direct_samples.into_times(seconds), through_samples.into_times(seconds));
         comparisons.push(Comparison {
             concurrent: *concurrent,
             added_p50_ms: through.p50_ms - direct.p50_ms,
@@ -110,8 +114,8 @@
     Ok(comparisons)
 }
 
-/// The call to each of these.
-fn fetches(bases: &[Url], path: &str, is_direct: bool) -> Vec<Fetch> {
+/// One call for each base URL; URLs to which `path` cannot be joined are left out.
+fn build_fetches(bases: &[Url], path: &str, is_direct: bool) -> Vec<Fetch> {
     let mut fetches = Vec::new();
     for base in bases {
         let Ok(url) = base.join(path) else { continue };
@@ -121,34 +125,34 @@
     fetches
 }
 
-/// One round of `concurrent` clients.
-async fn one_round(http: &Client, fetches: &[Fetch], concurrent: usize, round_ms: u64) -> Gathered {
-    let until = Instant::now() + Duration::from_millis(round_ms);
+/// Runs one round with `concurrent` clients.
+async fn run_round(http: &Client, fetches: &[Fetch], concurrent: usize, round_ms: u64) -> Samples {
+    let end = Instant::now() + Duration::from_millis(round_ms);
     let mut clients = JoinSet::new();
     for number in 0..concurrent {
         let Some(fetch) = fetches.get(number % fetches.len().max(1)) else { break };
         let (http, fetch) = (http.clone(), fetch.clone());
         clients.spawn(async move {
-            let mut gathered = Gathered::default();
-            while Instant::now() < until {
+            let mut samples = Samples::default();
+            while Instant::now() < end {
                 match fetch.run(&http).await {
-                    Ok(fetched) => gathered.good_ms.push(fetched.took.as_secs_f64() * 1_000.0),
-                    Err(_) => gathered.bad += 1,
+                    Ok(fetched) => samples.good_ms.push(fetched.took.as_secs_f64() * 1_000.0),
+                    Err(_) => samples.bad += 1,
                 }
             }
-            gathered
+            samples
         });
     }
-    let mut all = Gathered::default();
-    for gathered in clients.join_all().await {
-        all.good_ms.extend(gathered.good_ms);
-        all.bad += gathered.bad;
+    let mut all = Samples::default();
+    for samples in clients.join_all().await {
+        all.good_ms.extend(samples.good_ms);
+        all.bad += samples.bad;
     }
     all
 }
 
-impl Gathered {
-    fn times(mut self, seconds: f64) -> Times {
+impl Samples {
+    fn into_times(mut self, seconds: f64) -> Times {
         self.good_ms.sort_by(f64::total_cmp);
         Times {
             good: self.good_ms.len() as u64,
--- a/src/standin/cli.rs
+++ b/src/standin/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the stand-ins.
+//! Command line of the stand-ins.
 
 mod bench;
 mod load;
@@ -20,15 +20,15 @@
 use super::target::{Target, TargetSettings};
 use super::{Server, collector, platform};
 
-/// How long a target that is stopped waits for its calls.
-const LEAVE_WAIT_MS: u64 = 10_000;
+/// How long a target that is stopped waits for running calls.
+const DRAIN_TIMEOUT_MS: u64 = 10_000;
 
-/// run a small stand-in for something around a site: the platform's services, targets, the
-/// collector of traces
+/// run a small stand-in for part of a site's surroundings: the platform's services, targets, callers
+/// or the trace collector
 #[derive(FromArgs, ArgsInfo, Debug, PartialEq)]
 #[argh(subcommand, name = "standin")]
 pub struct StandinArgs {
-    /// which one
+    /// which stand-in to run
     #[argh(subcommand)]
     pub kind: StandinKind,
 }
@@ -41,19 +41,19 @@
     Table(TableArgs),
     /// The object store.
     Objects(ObjectsArgs),
-    /// One target.
+    /// A target of a service.
     Target(TargetArgs),
-    /// The collector of traces.
+    /// The trace collector.
     Collector(CollectorArgs),
-    /// One call of an outside caller.
+    /// An outside caller that makes one call.
     Fetch(FetchArgs),
-    /// Many calls of outside callers.
+    /// A load generator of outside callers.
     Load(LoadArgs),
-    /// Calls through nodes beside calls direct.
+    /// A benchmark of calls through nodes against direct calls.
     Bench(BenchArgs),
 }
 
-/// the platform's table service, in memory
+/// run the platform's table service in memory
 #[derive(FromArgs, ArgsInfo, Debug, PartialEq)]
 #[argh(subcommand, name = "table")]
 pub struct TableArgs {
@@ -62,7 +62,7 @@
     pub listen: SocketAddr,
 }
 
-/// the platform's object store, in memory
+/// run the platform's object store in memory
 #[derive(FromArgs, ArgsInfo, Debug, PartialEq)]
 #[argh(subcommand, name = "objects")]
 pub struct ObjectsArgs {
@@ -71,7 +71,7 @@
     pub listen: SocketAddr,
 }
 
-/// the operators' collector of traces (OTLP over HTTP in JSON)
+/// run the operators' trace collector (OTLP over HTTP in JSON)
 #[derive(FromArgs, ArgsInfo, Debug, PartialEq)]
 #[argh(subcommand, name = "collector")]
 pub struct CollectorArgs {
@@ -80,59 +80,59 @@
     pub listen: SocketAddr,
 }
 
-/// one target of a service
+/// run one target of a service
 #[derive(FromArgs, ArgsInfo, Debug, PartialEq)]
 #[argh(subcommand, name = "target")]
 pub struct TargetArgs {
-    /// the service it belongs to
+    /// the service that the target belongs to
     #[argh(option)]
     pub service: String,
-    /// its name in answers; the address where absent
+    /// the target's name in its answers (its address)
     #[argh(option)]
     pub name: Option<String>,
     /// where to listen, as ip:port
     #[argh(option)]
     pub listen: SocketAddr,
-    /// where its node listens for it (target_listen), as ip:port
+    /// address on which the node accepts targets (target_listen), as ip:port
     #[argh(option)]
     pub node: Option<SocketAddr>,
-    /// how many calls it runs at once (32)
+    /// number of calls that run at once (32)
     #[argh(option, default = "32")]
     pub slots: u32,
-    /// slots set aside for policy arms, as arm=slots,arm=slots; other arms share --slots
-    #[argh(option, default = "Lanes::default()")]
-    pub lane_slots: Lanes,
-    /// how many calls may wait for a slot (10000)
+    /// dedicated slots by policy arm, as arm=slots,arm=slots; other arms share --slots
+    #[argh(option, default = "ArmSlots::default()")]
+    pub lane_slots: ArmSlots,
+    /// number of calls that may wait for a slot (10000)
     #[argh(option, default = "10_000")]
     pub queue_max: u32,
-    /// how many connections it says that it accepts (1000)
+    /// number of connections that the target announces to accept (1000)
     #[argh(option, default = "1_000")]
     pub connections: u32,
-    /// the mean time of its own work for a call, in milliseconds (5)
+    /// mean service time of a call without its own calls, in milliseconds (5)
     #[argh(option, default = "5.0")]
     pub service_ms: f64,
-    /// the seed of the times it draws (1)
+    /// seed of the random service times (1)
     #[argh(option, default = "1")]
     pub seed: u64,
-    /// the services it calls for each call, as a,b,c
-    #[argh(option, default = "Names::default()")]
-    pub calls: Names,
-    /// call them all at once instead of one after the other
+    /// services that are called while serving each call, as a,b,c
+    #[argh(option, default = "NameList::default()")]
+    pub calls: NameList,
+    /// call these services concurrently instead of in sequence
     #[argh(switch)]
     pub parallel: bool,
-    /// how long after its start it works slowly, in milliseconds (0)
+    /// how long the target works slowly after its start, in milliseconds (0)
     #[argh(option, default = "0")]
     pub cold_ms: u64,
 }
 
-/// one call of an outside caller; fails unless the answer is whole and correct
+/// make one call as an outside caller; fails unless the answer is complete and correct
 #[derive(FromArgs, ArgsInfo, Debug, PartialEq)]
 #[argh(subcommand, name = "fetch")]
 pub struct FetchArgs {
-    /// where: http://caller_listen/service/path
+    /// the URL: http://caller_listen/service/path
     #[argh(option)]
     pub url: Url,
-    /// the method (GET)
+    /// the HTTP method (GET)
     #[argh(option, default = "Method::GET")]
     pub method: Method,
     /// the body (empty)
@@ -141,19 +141,19 @@
     /// a header as name=value; may be repeated
     #[argh(option)]
     pub header: Vec<String>,
-    /// how many services deep the answer must be (1)
+    /// least depth of the answer, in services (1)
     #[argh(option, default = "1")]
     pub depth: usize,
-    /// how long to wait, in milliseconds (10000)
+    /// timeout in milliseconds (10000)
     #[argh(option, default = "10_000")]
     pub timeout_ms: u64,
 }
 
-/// Names between commas.
+/// Names separated by commas; empty ones are dropped.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Names(pub Vec<String>);
+pub struct NameList(pub Vec<String>);
 
-impl FromStr for Names {
+impl FromStr for NameList {
     type Err = String;
 
     fn from_str(value: &str) -> Result<Self, String> {
@@ -162,27 +162,27 @@
     }
 }
 
-/// Pairs `arm=slots` between commas.
+/// Pairs `arm=slots` separated by commas.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Lanes(pub Vec<(String, u32)>);
+pub struct ArmSlots(pub Vec<(String, u32)>);
 
-impl FromStr for Lanes {
+impl FromStr for ArmSlots {
     type Err = String;
 
     fn from_str(value: &str) -> Result<Self, String> {
-        let mut lanes = Vec::new();
+        let mut pairs = Vec::new();
         for pair in value.split(',') {
             let Some((arm, slots)) = pair.split_once('=') else {
                 return Err(format!("{pair:?} is not arm=slots"));
             };
             let slots = slots.parse().map_err(|_| format!("{slots:?} is not a number of slots"))?;
-            lanes.push((arm.to_owned(), slots));
+            pairs.push((arm.to_owned(), slots));
         }
-        Ok(Self(lanes))
+        Ok(Self(pairs))
     }
 }
 
-/// Runs a stand-in until it is told to stop by SIGINT or SIGTERM.
+/// Runs a stand-in: a server until SIGINT or SIGTERM, a caller until its calls have ended.
 pub fn run(args: &StandinArgs) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     match &args.kind {
@@ -202,15 +202,15 @@
     }
 }
 
-/// Runs a stand-in that has nothing to finish when it stops.
+/// Runs a server that stops without draining.
 fn run_server(runtime: &tokio::runtime::Runtime, kind: &str, server: Server) -> Result<()> {
     println!("{kind} listens on {}", server.address());
-    runtime.block_on(told_to_stop())?;
+    runtime.block_on(wait_for_stop_signal())?;
     server.stop();
     Ok(())
 }
 
-/// Runs a target, which finishes its calls when it is told to stop.
+/// Runs a target, and drains it when it is told to stop.
 fn run_target(runtime: &tokio::runtime::Runtime, args: &TargetArgs) -> Result<()> {
     let settings = TargetSettings::builder()
         .service(&args.service)
@@ -230,15 +230,15 @@
     let target = Target::start(settings)?;
     println!("target of {} listens on {}", args.service, target.address());
     runtime.block_on(async {
-        told_to_stop().await?;
-        match target.drain(Duration::from_millis(LEAVE_WAIT_MS)).await {
+        wait_for_stop_signal().await?;
+        match target.drain(Duration::from_millis(DRAIN_TIMEOUT_MS)).await {
             0 => Ok(()),
-            cut_off => Err(eyre!("{cut_off} calls were cut off")),
+            aborted => Err(eyre!("{aborted} calls were still running when the target stopped")),
         }
     })
 }
 
-/// Makes one call and prints who worked for its answer.
+/// Makes one call and prints the targets that contributed to its answer.
 async fn run_fetch(args: &FetchArgs) -> Result<()> {
     let mut headers = Vec::new();
     for header in &args.header {
@@ -254,16 +254,16 @@
     let fetched = fetch.run(&client).await?;
     let depth = fetched.answer.depth();
     if depth < args.depth {
-        return Err(eyre!("the answer is {depth} services deep, not {}", args.depth));
+        return Err(eyre!("the answer is {depth} services deep, expected at least {}", args.depth));
     }
     println!("{} {}", args.method, args.url);
-    println!("  whole and correct after {:.1} ms", fetched.took.as_secs_f64() * 1_000.0);
+    println!("  complete and correct after {:.1} ms", fetched.took.as_secs_f64() * 1_000.0);
     println!("  by {}", fetched.answer.targets().join(" -> "));
     Ok(())
 }
 
-/// Returns when the process is told to stop.
-async fn told_to_stop() -> Result<()> {
+/// Waits for SIGINT or SIGTERM.
+async fn wait_for_stop_signal() -> Result<()> {
     let mut interrupt = signal(SignalKind::interrupt()).wrap_err("cannot listen for SIGINT")?;
     let mut terminate = signal(SignalKind::terminate()).wrap_err("cannot listen for SIGTERM")?;
     tokio::select! {
--- a/src/standin/cli/bench.rs
+++ b/src/standin/cli/bench.rs
@@ -1,4 +1,4 @@
-//! The command line of the comparison of calls through nodes with calls direct.
+//! Command line of the benchmark of calls through nodes against direct calls.
 
 use argh::{ArgsInfo, FromArgs};
 use eyre::Result;
@@ -6,10 +6,10 @@
 
 use crate::standin::bench::{BenchOptions, Comparison, run};
 
-/// Worker threads of the clients.
+/// Worker threads of the runtime that runs the clients.
 const WORKERS: usize = 4;
 
-/// compare calls through nodes with the same calls direct to the targets
+/// compare the latency of calls through nodes with the same calls sent directly to targets
 #[derive(FromArgs, ArgsInfo, Debug, PartialEq)]
 #[argh(subcommand, name = "bench")]
 pub struct BenchArgs {
@@ -19,16 +19,16 @@
     /// a target's base URL; may be repeated
     #[argh(option)]
     pub target: Vec<Url>,
-    /// the service and the path, /SERVICE/PATH
+    /// the path, as /SERVICE/PATH
     #[argh(option)]
     pub path: String,
-    /// how many clients there are; may be repeated
+    /// number of concurrent clients; may be repeated
     #[argh(option)]
     pub concurrent: Vec<usize>,
-    /// how long one round lasts, in milliseconds (2000)
+    /// duration of a round in milliseconds (2000)
     #[argh(option, default = "2_000")]
     pub round_ms: u64,
-    /// how many rounds there are of each sort (3)
+    /// number of rounds through nodes, and of direct rounds (3)
     #[argh(option, default = "3")]
     pub rounds: u32,
     /// print the comparisons in JSON
@@ -36,7 +36,7 @@
     pub json: bool,
 }
 
-/// Makes the comparisons and prints them.
+/// Runs the benchmark and prints its comparisons.
 pub(super) fn run_bench(args: &BenchArgs) -> Result<()> {
     let options = BenchOptions::builder()
         .nodes(args.node.clone())
@@ -58,18 +58,18 @@
         "concurrent", "calls", "good", "bad", "per s", "p50 ms", "p99 ms"
     );
     for comparison in &comparisons {
-        print(comparison);
+        print_comparison(comparison);
     }
     Ok(())
 }
 
 /// Prints the lines of one comparison.
-fn print(comparison: &Comparison) {
-    for (sort, times) in [("direct", &comparison.direct), ("through", &comparison.through)] {
+fn print_comparison(comparison: &Comparison) {
+    for (route, times) in [("direct", &comparison.direct), ("through", &comparison.through)] {
         println!(
             "{:>10} {:<8} {:>9} {:>7} {:>10.1} {:>9.3} {:>9.3}",
             comparison.concurrent,
-            sort,
+            route,
             times.good,
             times.bad,
             times.per_s,
--- a/src/standin/cli/load.rs
+++ b/src/standin/cli/load.rs
@@ -1,4 +1,4 @@
-//! The command line of the load program.
+//! Command line of the load generator.
 
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -13,48 +13,50 @@
     CallKind, LoadOptions, Outcome, Phase, Record, ScheduledPost, Summary, Window, run, run_ms,
 };
 
-/// Worker threads of the load program.
+/// Worker threads of the runtime that makes the calls.
 const WORKERS: usize = 4;
 
-/// offer calls to a site at set times, whatever becomes of earlier ones, and sum up what came back
+/// send calls to a site at scheduled times, independent of earlier calls, and summarize the results
 #[derive(FromArgs, ArgsInfo, Debug, PartialEq)]
 #[argh(subcommand, name = "load")]
 pub struct LoadArgs {
-    /// a node's base URL, http://caller_listen; may be repeated, calls go to them in turn
+    /// a node's base URL, http://caller_listen; may be repeated, calls go to the nodes in turn
     #[argh(option)]
     pub node: Vec<Url>,
-    /// a kind of calls, 'NAME WEIGHT METHOD /SERVICE/PATH [own|minted]' with {n} for the call's
-    /// number and where its idempotency key comes from; may be repeated
+    /// a kind of calls, 'NAME WEIGHT METHOD /SERVICE/PATH [own|minted]', where {n} stands for the
+    /// call's number, own generates an idempotency key and minted gets one from a node; may be
+    /// repeated
     #[argh(option)]
     pub call: Vec<CallKind>,
-    /// RATE:TIME, as 120:10s (calls a second) or 0.5x:10s (times the capacity); may be repeated
+    /// a phase, RATE:TIME, as 120:10s (calls per second) or 0.5x:10s (times the capacity); may be
+    /// repeated
     #[argh(option)]
     pub phase: Vec<Phase>,
-    /// the capacity in calls a second (100)
+    /// the capacity in calls per second (100)
     #[argh(option, default = "100.0")]
     pub capacity: f64,
-    /// how long an answer is of use, in milliseconds (1000)
+    /// deadline of each call, in milliseconds (1000)
     #[argh(option, default = "1_000")]
     pub deadline_ms: u64,
-    /// how many services deep a whole answer is at least (1)
+    /// least depth of a complete answer, in services (1)
     #[argh(option, default = "1")]
     pub depth: usize,
-    /// how often a client sends a call again that gave no whole answer (0)
+    /// maximum number of retries of a call that got no complete answer (0)
     #[argh(option, default = "0")]
     pub retries: u32,
-    /// clients retry only what was not run, and wait as long as they are told
+    /// clients retry only calls that did not run, and honour retry-after
     #[argh(switch)]
     pub polite: bool,
-    /// something to post at a set time, 'TIME URL BODY', as a fault; may be repeated
+    /// a request to post at a scheduled time, 'TIME URL BODY', such as a fault; may be repeated
     #[argh(option)]
     pub at: Vec<ScheduledPost>,
-    /// when the trigger of overload is there, as 10s..20s, for the recovery time
+    /// when the cause of overload is present, as 10s..20s; recovery time counts from its end
     #[argh(option)]
     pub trigger: Option<Window>,
-    /// the seed of arrivals and kinds (1)
+    /// seed of the arrival times and kinds (1)
     #[argh(option, default = "1")]
     pub seed: u64,
-    /// the file that gets a line of JSON for each call
+    /// file to which a line of JSON is written for each call
     #[argh(option)]
     pub out: Option<PathBuf>,
     /// print the whole summary in JSON
@@ -100,7 +102,7 @@
     Ok(())
 }
 
-/// Writes a line of JSON for each call.
+/// Writes the records as JSON lines.
 fn write_records(file: File, records: &[Record]) -> Result<()> {
     let mut file = BufWriter::new(file);
     for record in records {
@@ -150,7 +152,7 @@
     }
 }
 
-/// A time with one decimal, or a dash.
+/// Formats a time with one decimal, or a dash if there is none.
 fn format_ms(value_ms: Option<f64>) -> String {
     value_ms.map_or("-".to_owned(), |value_ms| format!("{value_ms:.1}"))
 }
--- a/src/standin/client.rs
+++ b/src/standin/client.rs
@@ -1,15 +1,17 @@
-//! The HTTP client of the stand-ins, with everything it could do by itself turned off.
+//! The HTTP client of the stand-ins, without retries, redirects or proxies.
 
 use std::time::Duration;
 
 use reqwest::{Client, redirect, retry};
 
-/// How long a connection may take to be made.
+/// Connect timeout.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
-/// How long an idle connection is kept; shorter than the server's keep-alive of 5 seconds.
+/// How long idle connections are kept. Shorter than the server's keep-alive of 5 s, so that the client
+/// closes them first.
 const POOL_IDLE_MS: u64 = 4_000;
 
-/// A client that never repeats a request, follows no redirects and reads no proxy settings.
+/// Creates a client that never retries a request, follows no redirects and ignores proxy settings.
+/// `timeout` applies to each whole request.
 pub fn client(timeout: Duration) -> Result<Client, reqwest::Error> {
     Client::builder()
         .connect_timeout(Duration::from_millis(CONNECT_TIMEOUT_MS))
--- a/src/standin/collector.rs
+++ b/src/standin/collector.rs
@@ -1,38 +1,38 @@
-//! A stand-in for the operators' collector of traces (OTLP over HTTP, in JSON).
+//! A stand-in for the operators' trace collector (OTLP over HTTP, in JSON).
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 
 use serde_json::Value;
 
-use super::exchange::{Exchange, Reply};
+use super::message::{Reply, Request};
 use super::server::Server;
 use crate::duty::web::WebError;
 
-/// Where spans are sent.
+/// Path to which traces are exported.
 const TRACES_PATH: &str = "/v1/traces";
-/// Where the spans that came in are read.
+/// Path that lists the received spans.
 const SPANS_PATH: &str = "/spans";
-/// Where the spans are forgotten.
+/// Path that deletes the received spans.
 const CLEAR_PATH: &str = "/clear";
-/// How many spans are kept; later ones are dropped.
+/// Maximum number of spans kept; later ones are dropped.
 const SPANS_MAX: usize = 200_000;
 
-/// Starts a collector.
+/// Starts a stand-in for the collector.
 pub fn start(listen: SocketAddr) -> Result<Server, WebError> {
     let spans = Arc::new(Mutex::new(Vec::new()));
-    Server::start(listen, 1, move |exchange| {
+    Server::start(listen, 1, move |request| {
         let spans = spans.clone();
-        async move { answer(&spans, &exchange) }
+        async move { answer(&spans, &request) }
     })
 }
 
-/// Answers one exchange.
-fn answer(spans: &Mutex<Vec<Value>>, exchange: &Exchange) -> Reply {
+/// Answers one request.
+fn answer(spans: &Mutex<Vec<Value>>, request: &Request) -> Reply {
     let mut spans = spans.lock().unwrap_or_else(PoisonError::into_inner);
-    match (exchange.method.as_str(), exchange.path.as_str()) {
+    match (request.method.as_str(), request.path.as_str()) {
         ("POST", TRACES_PATH) => {
-            let Ok(export) = serde_json::from_slice::<Value>(&exchange.body) else {
+            let Ok(export) = serde_json::from_slice::<Value>(&request.body) else {
                 return Reply::problem(400, "the body is not JSON");
             };
             collect(&export, &mut spans);
@@ -48,7 +48,7 @@
     }
 }
 
-/// Takes the spans out of an export, each with the attributes of its resource as `resource`.
+/// Appends the spans of an export, each with the attributes of its resource as `resource`.
 fn collect(export: &Value, spans: &mut Vec<Value>) {
     for resource in list(export, "resourceSpans") {
         let attributes = &resource["resource"]["attributes"];
@@ -62,7 +62,7 @@
     }
 }
 
-/// The items of a field that holds a list; none where it is absent.
+/// The items of an array field; empty where the field is absent or no array.
 fn list<'a>(value: &'a Value, field: &str) -> &'a [Value] {
     value[field].as_array().map_or(&[], Vec::as_slice)
 }
--- a/src/standin/fetch.rs
+++ b/src/standin/fetch.rs
@@ -1,4 +1,4 @@
-//! One call, whose answer is checked for being whole and correct.
+//! Makes one call and verifies that the answer is complete and correct.
 
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -10,39 +10,39 @@
 
 use super::answer::{Answer, Echo};
 
-/// The status of every answer of a stand-in target that did its work.
+/// Status of every successful answer of a stand-in target.
 const OK: u16 = 200;
 
-/// One call of an outside caller to a stand-in target behind a node.
+/// A call of an outside caller to a stand-in target, through a node or directly.
 #[derive(Clone, Debug)]
 pub struct Fetch {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// Where: the node's `caller_listen`, the service, then the path.
+    /// The node's `caller_listen` (or the target's address), the service and the path.
     pub url: Url,
-    /// Whether the URL is a target's own, which does not get the service.
+    /// Whether the URL points to a target. The service is then removed from the path that is sent.
     pub is_direct: bool,
     /// The body.
     pub body: Vec<u8>,
-    /// Headers besides the usual ones.
+    /// Additional headers.
     pub headers: Vec<(String, String)>,
 }
 
-/// An answer that was whole and correct.
+/// A complete and correct answer.
 #[derive(Clone, Debug)]
 pub struct Fetched {
     /// The answer.
     pub answer: Answer,
-    /// The HTTP answer it came in.
-    pub reply: Reply,
-    /// From the first byte sent to the last received.
+    /// The HTTP response that carried the answer.
+    pub response: HttpResponse,
+    /// Time from the start of the request to the last byte of the response.
     pub took: Duration,
 }
 
-/// An HTTP answer, whatever it holds.
+/// An HTTP response.
 #[derive(Clone, Debug, Default)]
-pub struct Reply {
-    /// The status.
+pub struct HttpResponse {
+    /// The HTTP status.
     pub status: u16,
     /// The headers.
     pub headers: HeaderMap,
@@ -50,14 +50,14 @@
     pub body: Bytes,
 }
 
-impl Reply {
-    /// The first header of this name; empty where it is absent.
+impl HttpResponse {
+    /// The value of the first header with this name; empty if absent or not text.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("")
     }
 }
 
-impl fmt::Display for Reply {
+impl fmt::Display for HttpResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let verdict = self.header("aspenspring-verdict");
         let body = String::from_utf8_lossy(&self.body);
@@ -65,25 +65,25 @@
     }
 }
 
-/// Why a call gave no whole and correct answer.
+/// Why a call got no complete and correct answer.
 #[derive(Debug, Error)]
 pub enum FetchError {
-    /// The URL names no service.
+    /// The path of the URL does not start with a service.
     #[error("the URL has no service in its path")]
-    Service,
-    /// The exchange broke off.
-    #[error("the exchange broke off: {0}")]
-    Broken(#[from] reqwest::Error),
-    /// An error was answered.
+    NoService,
+    /// The request failed before a whole response was received.
+    #[error("the HTTP request failed: {0}")]
+    Transport(#[from] reqwest::Error),
+    /// The response has an error status.
     #[error("{0}")]
-    Refused(Reply),
-    /// The answer was not a target's, or a target's to another call.
-    #[error("the answer is not whole or not to this call: {0}")]
-    Wrong(Reply),
+    Status(HttpResponse),
+    /// The response is not an answer of a target, or one to another call.
+    #[error("the answer is incomplete or does not belong to this call: {0}")]
+    InvalidAnswer(HttpResponse),
 }
 
 impl Fetch {
-    /// The service called and the echo its whole answer has; none when the URL names no service.
+    /// The service called and the echo expected in its answer; none if the path has no service.
     pub fn expected(&self) -> Option<(String, Echo)> {
         let mut path = self.url.path().to_owned();
         if let Some(query) = self.url.query() {
@@ -97,10 +97,10 @@
         Some((service.to_owned(), echo))
     }
 
-    /// Makes the call, once.
+    /// Makes the call once, without retries.
     pub async fn run(&self, client: &Client) -> Result<Fetched, FetchError> {
-        let (service, echo) = self.expected().ok_or(FetchError::Service)?;
-        let begun = Instant::now();
+        let (service, echo) = self.expected().ok_or(FetchError::NoService)?;
+        let started = Instant::now();
         let mut url = self.url.clone();
         if self.is_direct {
             let (path, _) = echo.path.split_once('?').unwrap_or((&echo.path, ""));
@@ -114,17 +114,17 @@
         let mut response = request.send().await?;
         let status = response.status().as_u16();
         let headers = std::mem::take(response.headers_mut());
-        let reply = Reply { status, headers, body: response.bytes().await? };
-        let took = begun.elapsed();
+        let response = HttpResponse { status, headers, body: response.bytes().await? };
+        let took = started.elapsed();
         if status != OK {
-            return Err(FetchError::Refused(reply));
+            return Err(FetchError::Status(response));
         }
-        let Ok(answer) = serde_json::from_slice::<Answer>(&reply.body) else {
-            return Err(FetchError::Wrong(reply));
+        let Ok(answer) = serde_json::from_slice::<Answer>(&response.body) else {
+            return Err(FetchError::InvalidAnswer(response));
         };
-        if !answer.is_whole(&service, &echo) {
-            return Err(FetchError::Wrong(reply));
+        if !answer.is_complete(&service, &echo) {
+            return Err(FetchError::InvalidAnswer(response));
         }
-        Ok(Fetched { answer, reply, took })
+        Ok(Fetched { answer, response, took })
     }
 }
--- a/src/standin/load/client.rs
+++ b/src/standin/load/client.rs
@@ -11,7 +11,7 @@
 use super::call::{CallKind, KeySource};
 use super::options::LoadOptions;
 use super::record::{Outcome, Record};
-use crate::standin::fetch::{Fetch, FetchError, Reply};
+use crate::standin::fetch::{Fetch, FetchError, HttpResponse};
 
 /// How long after the deadline a client still waits for a response, which carries the verdict.
 const VERDICT_GRACE_MS: u64 = 250;
@@ -140,29 +140,29 @@
         let fetch = Fetch { method, url, is_direct: false, body, headers };
         let wait = Duration::from_millis(deadline_ms + VERDICT_GRACE_MS);
         let fetched = timeout(wait, fetch.run(&self.http)).await;
-        let (outcome, reply) = match fetched {
+        let (outcome, response) = match fetched {
             Ok(Ok(fetched)) if fetched.answer.depth() < self.options.depth => {
-                (Outcome::Wrong, Some(fetched.reply))
+                (Outcome::Wrong, Some(fetched.response))
             }
-            Ok(Ok(fetched)) => (Outcome::Good, Some(fetched.reply)),
-            Ok(Err(FetchError::Refused(reply))) => (classify_error(&reply), Some(reply)),
-            Ok(Err(FetchError::Wrong(reply))) => (Outcome::Wrong, Some(reply)),
+            Ok(Ok(fetched)) => (Outcome::Good, Some(fetched.response)),
+            Ok(Err(FetchError::Status(response))) => (classify_error(&response), Some(response)),
+            Ok(Err(FetchError::InvalidAnswer(response))) => (Outcome::Wrong, Some(response)),
             Ok(Err(_)) | Err(_) => (Outcome::Broken, None),
         };
-        let reply = reply.unwrap_or_default();
-        let retry_after_s = reply.header("retry-after").parse().unwrap_or(0);
+        let response = response.unwrap_or_default();
+        let retry_after_s = response.header("retry-after").parse().unwrap_or(0);
         record.outcome = outcome;
-        record.status = reply.status;
-        record.verdict = reply.header("aspenspring-verdict").to_owned();
-        record.arm = reply.header("aspenspring-arm").to_owned();
-        record.root = reply.header("aspenspring-root").to_owned();
+        record.status = response.status;
+        record.verdict = response.header("aspenspring-verdict").to_owned();
+        record.arm = response.header("aspenspring-arm").to_owned();
+        record.root = response.header("aspenspring-root").to_owned();
         Duration::from_secs(retry_after_s)
     }
 }
 
 /// The outcome of a call that was answered with an error, by the verdict of the node.
-fn classify_error(reply: &Reply) -> Outcome {
-    let verdict = reply.header("aspenspring-verdict");
+fn classify_error(response: &HttpResponse) -> Outcome {
+    let verdict = response.header("aspenspring-verdict");
     match verdict.split(';').next().unwrap_or("") {
         "not-run" => Outcome::NotRun,
         "may-have-run" => Outcome::MayHaveRun,
--- a/src/standin/exchange.rs
+++ b/src/standin/message.rs
@@ -1,31 +1,31 @@
-//! One HTTP exchange as a stand-in sees it, apart from the library that carries it.
+//! HTTP requests and replies of the stand-ins, independent of the HTTP library.
 
 use serde::Serialize;
 use serde_json::Value;
 
-/// A request, whole.
+/// A request with its whole body.
 #[derive(Clone, Debug, Default)]
-pub struct Exchange {
+pub struct Request {
     /// The method, in upper case.
     pub method: String,
     /// The path without its query, percent-decoded.
     pub path: String,
-    /// The query without its question mark, as it was sent.
+    /// The query as it was sent, without the question mark.
     pub query: String,
-    /// All headers, names in lower case.
+    /// All headers, with names in lower case.
     pub headers: Vec<(String, String)>,
     /// The whole body.
     pub body: Vec<u8>,
 }
 
-impl Exchange {
-    /// The first header of this name, which is given in lower case.
+impl Request {
+    /// The value of the first header with this name; `name` must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        let found = self.headers.iter().find(|(present, _)| present == name);
+        let found = self.headers.iter().find(|(header_name, _)| header_name == name);
         found.map(|(_, value)| value.as_str())
     }
 
-    /// The path with its query, as a caller wrote it.
+    /// The path (percent-decoded) and the query.
     pub fn target(&self) -> String {
         if self.query.is_empty() {
             return self.path.clone();
@@ -33,7 +33,7 @@
         format!("{}?{}", self.path, self.query)
     }
 
-    /// The value of a query parameter, not decoded.
+    /// The value of a query parameter, without percent-decoding.
     pub fn query_value(&self, name: &str) -> Option<&str> {
         for pair in self.query.split('&') {
             let Some((present, value)) = pair.split_once('=') else { continue };
@@ -45,29 +45,29 @@
     }
 }
 
-/// How a reply ends.
+/// How much of a reply is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Ending {
-    /// The reply is sent whole.
+pub enum Delivery {
+    /// The whole reply is sent.
     #[default]
-    Whole,
+    Complete,
     /// Status, headers and half of the body are sent, then the connection is closed.
     Truncated,
-    /// The connection is closed without a byte.
+    /// The connection is closed without sending a byte.
     Closed,
 }
 
-/// What a stand-in sends back.
+/// A reply of a stand-in.
 #[derive(Clone, Debug, Default)]
 pub struct Reply {
     /// The HTTP status.
     pub status: u16,
-    /// Headers of the reply.
+    /// The headers.
     pub headers: Vec<(String, String)>,
     /// The whole body.
     pub body: Vec<u8>,
-    /// How the reply ends.
-    pub ending: Ending,
+    /// How much of the reply is sent.
+    pub delivery: Delivery,
 }
 
 impl Reply {
@@ -76,31 +76,33 @@
         Self { status, ..Self::default() }
     }
 
-    /// A reply of bytes.
+    /// A reply with a body of bytes.
     pub fn bytes(status: u16, body: Vec<u8>) -> Self {
-        Self { status, body, ..Self::default() }.with("content-type", "application/octet-stream")
+        Self { status, body, ..Self::default() }
+            .with_header("content-type", "application/octet-stream")
     }
 
-    /// A reply in JSON.
+    /// A reply with a JSON body.
     pub fn json(status: u16, body: &impl Serialize) -> Self {
         let body = serde_json::to_vec(body).unwrap_or_default();
-        Self { status, body, ..Self::default() }.with("content-type", "application/json")
+        Self { status, body, ..Self::default() }.with_header("content-type", "application/json")
     }
 
-    /// Problem details (RFC 9457).
+    /// A reply with problem details (RFC 9457).
     pub fn problem(status: u16, title: &str) -> Self {
         let details = serde_json::json!({"type": "about:blank", "title": title, "status": status});
         let body = serde_json::to_vec::<Value>(&details).unwrap_or_default();
-        Self { status, body, ..Self::default() }.with("content-type", "application/problem+json")
+        Self { status, body, ..Self::default() }
+            .with_header("content-type", "application/problem+json")
     }
 
-    /// Closes the connection without an answer.
+    /// No reply: the connection is closed without sending a byte.
     pub fn closed() -> Self {
-        Self { status: 500, ending: Ending::Closed, ..Self::default() }
+        Self { status: 500, delivery: Delivery::Closed, ..Self::default() }
     }
 
     /// Adds a header.
-    pub fn with(mut self, name: &str, value: &str) -> Self {
+    pub fn with_header(mut self, name: &str, value: &str) -> Self {
         self.headers.push((name.to_owned(), value.to_owned()));
         self
     }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,16 +1,17 @@
-//! Small stand-ins for what the platform and the operators provide, for tests and demonstrations.
+//! Small stand-ins for the surroundings of a site, for tests and demonstrations: the services of the
+//! platform, the operators' trace collector, targets and outside callers.
 //!
-//! Each one runs inside a test (`start`) or as a process (`aspenspring standin ..`).
+//! Servers run inside a test (`start`) or as a process (`aspenspring standin ..`).
 
 pub mod answer;
 pub mod bench;
-mod broken;
 pub mod cli;
 pub mod client;
 pub mod collector;
-pub mod exchange;
+mod faulty_body;
 pub mod fetch;
 pub mod load;
+pub mod message;
 pub mod platform;
 pub mod server;
 pub mod target;
--- a/src/standin/platform/mod.rs
+++ b/src/standin/platform/mod.rs
@@ -15,7 +15,7 @@
 pub use self::fault::{Fault, FaultMode};
 use self::objects::Objects;
 use self::rows::Tables;
-use super::exchange::{Exchange, Reply};
+use super::message::{Reply, Request};
 use super::server::Server;
 use crate::duty::web::WebError;
 
@@ -62,32 +62,32 @@
 fn start(listen: SocketAddr, store: Store) -> Result<Server, WebError> {
     let state = State { store, fault: Fault::default(), reads: 0, writes: 0 };
     let state = Arc::new(Mutex::new(state));
-    Server::start(listen, WORKERS, move |exchange| answer(state.clone(), exchange))
+    Server::start(listen, WORKERS, move |request| answer(state.clone(), request))
 }
 
 /// Answers one request, subject to the fault in effect.
 fn answer(
     state: Arc<Mutex<State>>,
-    exchange: Exchange,
+    request: Request,
 ) -> Pin<Box<dyn Future<Output = Reply> + Send>> {
     Box::pin(async move {
-        match (exchange.method.as_str(), exchange.path.as_str()) {
-            ("POST", FAULT_PATH) => return set_fault(&state, &exchange),
+        match (request.method.as_str(), request.path.as_str()) {
+            ("POST", FAULT_PATH) => return set_fault(&state, &request),
             ("GET", STATS_PATH) => return stats(&state),
             _ => {}
         }
-        let is_read = exchange.method == "GET";
+        let is_read = request.method == "GET";
         let fault = count_request(&state, is_read);
         match fault.mode {
-            FaultMode::Up => apply(&state, &exchange),
+            FaultMode::Up => apply(&state, &request),
             FaultMode::Down => Reply::closed(),
             FaultMode::Slow => {
                 tokio::time::sleep(Duration::from_millis(fault.delay_ms)).await;
-                apply(&state, &exchange)
+                apply(&state, &request)
             }
-            FaultMode::LoseAnswers if is_read => apply(&state, &exchange),
+            FaultMode::LoseAnswers if is_read => apply(&state, &request),
             FaultMode::LoseAnswers => {
-                apply(&state, &exchange);
+                apply(&state, &request);
                 Reply::closed()
             }
         }
@@ -106,16 +106,16 @@
 }
 
 /// Executes a request against the stored data.
-fn apply(state: &Mutex<State>, exchange: &Exchange) -> Reply {
+fn apply(state: &Mutex<State>, request: &Request) -> Reply {
     match &mut lock(state).store {
-        Store::Tables(tables) => tables.answer(exchange),
-        Store::Objects(objects) => objects.answer(exchange),
+        Store::Tables(tables) => tables.answer(request),
+        Store::Objects(objects) => objects.answer(request),
     }
 }
 
 /// Injects the fault in the request.
-fn set_fault(state: &Mutex<State>, exchange: &Exchange) -> Reply {
-    match serde_json::from_slice::<Fault>(&exchange.body) {
+fn set_fault(state: &Mutex<State>, request: &Request) -> Reply {
+    match serde_json::from_slice::<Fault>(&request.body) {
         Ok(fault) => lock(state).fault = fault,
         Err(error) => return Reply::problem(400, &error.to_string()),
     }
--- a/src/standin/platform/objects.rs
+++ b/src/standin/platform/objects.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::standin::answer::digest;
-use crate::standin::exchange::{Exchange, Reply};
+use crate::standin::message::{Reply, Request};
 
 /// All objects of the store.
 #[derive(Debug, Default)]
@@ -14,14 +14,13 @@
 
 impl Objects {
     /// Answers one request.
-    pub(super) fn answer(&mut self, exchange: &Exchange) -> Reply {
-        let Some(key) = exchange.path.strip_prefix("/objects/").filter(|key| !key.is_empty())
-        else {
+    pub(super) fn answer(&mut self, request: &Request) -> Reply {
+        let Some(key) = request.path.strip_prefix("/objects/").filter(|key| !key.is_empty()) else {
             return Reply::problem(404, "no such path");
         };
-        match exchange.method.as_str() {
+        match request.method.as_str() {
             "GET" => self.get(key),
-            "PUT" => self.put(key, exchange),
+            "PUT" => self.put(key, request),
             "DELETE" => self.delete(key),
             _ => Reply::problem(405, "no such method"),
         }
@@ -29,19 +28,20 @@
 
     fn get(&self, key: &str) -> Reply {
         match self.objects.get(key) {
-            Some(bytes) => Reply::bytes(200, bytes.clone()).with("etag", &entity_tag(bytes)),
+            Some(bytes) => Reply::bytes(200, bytes.clone()).with_header("etag", &entity_tag(bytes)),
             None => Reply::problem(404, "no such object"),
         }
     }
 
-    fn put(&mut self, key: &str, exchange: &Exchange) -> Reply {
-        let create_only = exchange.header("if-none-match").is_some();
+    fn put(&mut self, key: &str, request: &Request) -> Reply {
+        let create_only = request.header("if-none-match").is_some();
         if let Some(current) = self.objects.get(key).filter(|_| create_only) {
-            return Reply::problem(412, "the object exists").with("etag", &entity_tag(current));
+            return Reply::problem(412, "the object exists")
+                .with_header("etag", &entity_tag(current));
         }
-        let created = self.objects.insert(key.to_owned(), exchange.body.clone()).is_none();
+        let created = self.objects.insert(key.to_owned(), request.body.clone()).is_none();
         let status = if created { 201 } else { 200 };
-        Reply::empty(status).with("etag", &entity_tag(&exchange.body))
+        Reply::empty(status).with_header("etag", &entity_tag(&request.body))
     }
 
     fn delete(&mut self, key: &str) -> Reply {
--- a/src/standin/platform/rows.rs
+++ b/src/standin/platform/rows.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-use crate::standin::exchange::{Exchange, Reply};
+use crate::standin::message::{Reply, Request};
 
 /// A row in its JSON form.
 #[derive(Clone, Debug, Serialize)]
@@ -40,17 +40,17 @@
 
 impl Tables {
     /// Answers one request.
-    pub(super) fn answer(&mut self, exchange: &Exchange) -> Reply {
-        let Some((table, key)) = parse_path(&exchange.path) else {
+    pub(super) fn answer(&mut self, request: &Request) -> Reply {
+        let Some((table, key)) = parse_path(&request.path) else {
             return Reply::problem(404, "no such path");
         };
-        let Some(condition) = parse_condition(exchange) else {
+        let Some(condition) = parse_condition(request) else {
             return Reply::problem(400, "If-Match is a version in quotes, If-None-Match is *");
         };
-        match (exchange.method.as_str(), key) {
-            ("GET", None) => self.scan(table, exchange.query_value("prefix").unwrap_or("")),
+        match (request.method.as_str(), key) {
+            ("GET", None) => self.scan(table, request.query_value("prefix").unwrap_or("")),
             ("GET", Some(key)) => self.get(table, key),
-            ("PUT", Some(key)) => self.put(table, key, &exchange.body, &condition),
+            ("PUT", Some(key)) => self.put(table, key, &request.body, &condition),
             ("DELETE", Some(key)) => self.delete(table, key, &condition),
             _ => Reply::problem(405, "no such method"),
         }
@@ -58,7 +58,7 @@
 
     fn get(&self, table: &str, key: &str) -> Reply {
         match self.row(table, key) {
-            Some(row) => Reply::json(200, row).with("etag", &format!("\"{}\"", row.version)),
+            Some(row) => Reply::json(200, row).with_header("etag", &format!("\"{}\"", row.version)),
             None => Reply::problem(404, "no such row"),
         }
     }
@@ -134,11 +134,11 @@
 }
 
 /// The condition in the headers of a request; none where they are malformed.
-fn parse_condition(exchange: &Exchange) -> Option<Condition> {
-    if let Some(value) = exchange.header("if-none-match") {
+fn parse_condition(request: &Request) -> Option<Condition> {
+    if let Some(value) = request.header("if-none-match") {
         return (value.trim() == "*").then_some(Condition::Absent);
     }
-    let Some(value) = exchange.header("if-match") else {
+    let Some(value) = request.header("if-match") else {
         return Some(Condition::None);
     };
     value.trim().trim_matches('"').parse().ok().map(Condition::Version)
--- a/src/standin/target/call.rs
+++ b/src/standin/target/call.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use tokio::time::{Duration, Instant};
 
-use crate::standin::exchange::Exchange;
+use crate::standin::message::Request;
 
 /// An incoming call.
 #[derive(Clone, Debug)]
@@ -21,17 +21,17 @@
 }
 
 impl Call {
-    /// Parses a request received at `now`. The deadline is at most `default_deadline_ms` away, and
+    /// The call in a request received at `now`. The deadline is at most `default_deadline_ms` away, and
     /// exactly that where the request sets none.
-    pub(super) fn new(exchange: Exchange, default_deadline_ms: u64, now: Instant) -> Self {
-        let header_value = exchange.header("aspenspring-deadline-ms");
+    pub(super) fn new(request: Request, default_deadline_ms: u64, now: Instant) -> Self {
+        let header_value = request.header("aspenspring-deadline-ms");
         let remaining_ms = header_value.and_then(|value| value.parse().ok());
         let remaining_ms = remaining_ms.unwrap_or(default_deadline_ms).min(default_deadline_ms);
         Self {
-            path: exchange.target(),
-            method: exchange.method,
-            headers: exchange.headers,
-            body: exchange.body.into(),
+            path: request.target(),
+            method: request.method,
+            headers: request.headers,
+            body: request.body.into(),
             deadline: now + Duration::from_millis(remaining_ms),
         }
     }
--- a/src/standin/target/mod.rs
+++ b/src/standin/target/mod.rs
@@ -32,7 +32,7 @@
 use self::fault::Fault;
 use self::state::TargetState;
 use super::client::client;
-use super::exchange::{Exchange, Reply};
+use super::message::{Reply, Request};
 use super::server::Server;
 use crate::duty::web::WebError;
 
@@ -71,9 +71,9 @@
         let timeout = Duration::from_millis(settings.deadline_ms);
         let state = Arc::new(TargetState::new(settings.clone(), client(timeout)?));
         let handler_state = state.clone();
-        let server = Server::start(settings.listen, WORKERS, move |exchange| {
+        let server = Server::start(settings.listen, WORKERS, move |request| {
             let state = handler_state.clone();
-            async move { answer(&state, exchange).await }
+            async move { answer(&state, request).await }
         })?;
         let announcements = settings.node.map(|node| {
             let task = announce::announce(state.client.clone(), node, settings, server.address());
@@ -124,21 +124,21 @@
 }
 
 /// Answers one request: a control request or a call.
-async fn answer(state: &TargetState, exchange: Exchange) -> Reply {
-    let Some(operation) = exchange.path.strip_prefix(CONTROL_PREFIX) else {
-        let call = Call::new(exchange, state.settings.deadline_ms, Instant::now());
+async fn answer(state: &TargetState, request: Request) -> Reply {
+    let Some(operation) = request.path.strip_prefix(CONTROL_PREFIX) else {
+        let call = Call::new(request, state.settings.deadline_ms, Instant::now());
         return work::serve(state, call).await;
     };
-    match (exchange.method.as_str(), operation) {
+    match (request.method.as_str(), operation) {
         ("GET", "health") => health(state),
         ("GET", "load") => load(state),
         ("GET", "runs") => Reply::json(200, &*state.run_stats()),
-        ("POST", "cancel") => cancel(state, &exchange),
+        ("POST", "cancel") => cancel(state, &request),
         ("POST", "drain") => {
             state.start_draining();
             Reply::empty(204)
         }
-        ("POST", "fault") => set_fault(state, &exchange),
+        ("POST", "fault") => set_fault(state, &request),
         _ => Reply::problem(404, "no such path"),
     }
 }
@@ -159,8 +159,8 @@
 }
 
 /// Cancels all calls with the handle in the request.
-fn cancel(state: &TargetState, exchange: &Exchange) -> Reply {
-    let handle = exchange.header("aspenspring-call").filter(|handle| !handle.is_empty());
+fn cancel(state: &TargetState, request: &Request) -> Reply {
+    let handle = request.header("aspenspring-call").filter(|handle| !handle.is_empty());
     let Some(handle) = handle else {
         return Reply::problem(400, "the header aspenspring-call is missing");
     };
@@ -169,9 +169,9 @@
 }
 
 /// Injects the fault in the request.
-fn set_fault(state: &TargetState, exchange: &Exchange) -> Reply {
-    match serde_json::from_slice::<FaultRequest>(&exchange.body) {
-        Ok(request) => state.set_fault(Fault::new(&request, Instant::now())),
+fn set_fault(state: &TargetState, request: &Request) -> Reply {
+    match serde_json::from_slice::<FaultRequest>(&request.body) {
+        Ok(fault_request) => state.set_fault(Fault::new(&fault_request, Instant::now())),
         Err(error) => return Reply::problem(400, &error.to_string()),
     }
     Reply::empty(204)
--- a/src/standin/target/work.rs
+++ b/src/standin/target/work.rs
@@ -9,7 +9,7 @@
 use super::run_stats::RunEnd;
 use super::state::TargetState;
 use crate::standin::answer::{Answer, Echo};
-use crate::standin::exchange::{Ending, Reply};
+use crate::standin::message::{Delivery, Reply};
 
 /// Factor on service times while a target is cold.
 const COLD_FACTOR: f64 = 4.0;
@@ -93,7 +93,7 @@
     match mode {
         FaultMode::Error => (RunEnd::Faulty, Reply::problem(500, "the target failed")),
         FaultMode::Close => (RunEnd::Faulty, Reply::closed()),
-        FaultMode::Truncate => (RunEnd::Faulty, Reply { ending: Ending::Truncated, ..reply }),
+        FaultMode::Truncate => (RunEnd::Faulty, Reply { delivery: Delivery::Truncated, ..reply }),
         _ => (RunEnd::Answered, reply),
     }
 }
@@ -116,7 +116,7 @@
 /// A reply that states that the call was not run; counts it.
 fn not_run_reply(state: &TargetState, status: u16, title: &str) -> Reply {
     state.run_stats().never_run += 1;
-    Reply::problem(status, title).with(VERDICT_HEADER, NOT_RUN)
+    Reply::problem(status, title).with_header(VERDICT_HEADER, NOT_RUN)
 }
 
 /// A reply to a call that was stopped while it ran, so without the verdict "not run".
--- a/tests/standin_load.rs
+++ b/tests/standin_load.rs
@@ -1,28 +1,29 @@
-//! The load program tells whole answers from others and measures recovery.
+//! Tests of the load generator (verification of answers, summary, recovery time) and the benchmark.
 
 use std::net::SocketAddr;
 
 use aspenspring::standin::bench::{self, BenchOptions};
-use aspenspring::standin::exchange::Reply;
 use aspenspring::standin::load::{
     CallKind, LoadOptions, Outcome, Phase, Record, Series, Summary, Window, run, run_ms,
 };
+use aspenspring::standin::message::Reply;
 use aspenspring::standin::server::Server;
 use aspenspring::standin::target::{FaultMode, FaultRequest, Target, TargetSettings};
 use tokio::sync::mpsc;
 
-const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+const ANY_PORT: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 fn trigger() -> Window {
     "2s..3s".parse().expect("a window")
 }
 
-/// A run of 10 calls in each 100 ms, where `good` says how many of a bucket are good.
-fn series(buckets: u64, good: impl Fn(u64) -> u64) -> Series {
+/// 10 calls in each bucket of 100 ms, of which `good_calls(bucket)` are good.
+fn series_with(buckets: u64, good_calls: impl Fn(u64) -> u64) -> Series {
     let mut series = Series::default();
     for bucket in 0..buckets {
         for call in 0..10 {
-            series.record((bucket * 100 + call * 10) as f64, call < good(bucket));
+            series.record((bucket * 100 + call * 10) as f64, call < good_calls(bucket));
         }
     }
     series
@@ -31,13 +32,18 @@
 #[test]
 fn recovery_counts_from_the_end_of_the_trigger_until_goodput_stays() {
     let bad_until_bucket_34 = |bucket| if (20..34).contains(&bucket) { 0 } else { 10 };
-    assert_eq!(series(60, bad_until_bucket_34).recovery_ms(trigger()), Some(400));
-    assert_eq!(series(60, |_| 10).recovery_ms(trigger()), Some(0));
-    let relapse = |bucket| if bucket == 40 || (20..31).contains(&bucket) { 0 } else { 10 };
-    assert_eq!(series(60, relapse).recovery_ms(trigger()), Some(1_100));
-    let never = |bucket| if bucket >= 20 { 9 } else { 10 };
-    assert_eq!(series(60, never).recovery_ms(trigger()), None);
-    assert_eq!(series(25, |_| 10).recovery_ms(trigger()), None, "nothing is known after the end");
+    assert_eq!(series_with(60, bad_until_bucket_34).recovery_ms(trigger()), Some(400));
+    assert_eq!(series_with(60, |_| 10).recovery_ms(trigger()), Some(0));
+    let bad_again_in_bucket_40 =
+        |bucket| if bucket == 40 || (20..31).contains(&bucket) { 0 } else { 10 };
+    assert_eq!(series_with(60, bad_again_in_bucket_40).recovery_ms(trigger()), Some(1_100));
+    let bad_from_bucket_20 = |bucket| if bucket >= 20 { 9 } else { 10 };
+    assert_eq!(series_with(60, bad_from_bucket_20).recovery_ms(trigger()), None);
+    assert_eq!(
+        series_with(25, |_| 10).recovery_ms(trigger()),
+        None,
+        "nothing is known after the end"
+    );
 }
 
 #[test]
@@ -78,33 +84,34 @@
     assert_eq!(summary.group("all", "b").expect("a group").good_p50_ms, None);
 }
 
-/// A node of sorts: it takes the service off the path and says what the verdict is.
-fn entry(target: SocketAddr) -> Server {
+/// Stands in for a node: forwards calls to the target without the service in the path, and refuses
+/// those below `/refused` with the verdict "not run".
+fn node(target: SocketAddr) -> Server {
     let http = reqwest::Client::builder().no_proxy().build().expect("a client");
-    let relayed = move |exchange: aspenspring::standin::exchange::Exchange| {
+    let forward = move |request: aspenspring::standin::message::Request| {
         let http = http.clone();
         async move {
-            let path = exchange.target().replacen("/shop", "", 1);
+            let path = request.target().replacen("/shop", "", 1);
             if path.starts_with("/refused") {
                 return Reply::problem(503, "busy")
-                    .with("aspenspring-verdict", "not-run; reason=x");
+                    .with_header("aspenspring-verdict", "not-run; reason=x");
             }
             let answer = http.get(format!("http://{target}{path}")).send().await.expect("sent");
             let status = answer.status().as_u16();
             let body = answer.bytes().await.map(|body| body.to_vec()).unwrap_or_default();
-            Reply { status, body, ..Reply::default() }.with("aspenspring-arm", "main")
+            Reply { status, body, ..Reply::default() }.with_header("aspenspring-arm", "main")
         }
     };
-    Server::start(ANY, 2, relayed).expect("an entry")
+    Server::start(ANY_PORT, 2, forward).expect("a node")
 }
 
 #[tokio::test]
 async fn calls_through_and_direct_are_compared() {
-    let settings = TargetSettings::builder().service("shop").name("shop-1").listen(ANY);
+    let settings = TargetSettings::builder().service("shop").name("shop-1").listen(ANY_PORT);
     let target = Target::start(settings.service_ms(5.0).build()).expect("a target");
-    let entry = entry(target.address());
+    let node = node(target.address());
     let options = BenchOptions::builder()
-        .nodes(vec![entry.url().parse().expect("a URL")])
+        .nodes(vec![node.url().parse().expect("a URL")])
         .targets(vec![target.url().parse().expect("a URL")])
         .path("/shop/pages/1?x=1")
         .concurrent(vec![1, 4])
@@ -119,9 +126,9 @@
     }
 }
 
-async fn records(entry: &Server, call: &str, retries: u32) -> Vec<Record> {
+async fn run_records(node: &Server, call: &str, retries: u32) -> Vec<Record> {
     let options = LoadOptions::builder()
-        .nodes(vec![entry.url().parse().expect("a URL")])
+        .nodes(vec![node.url().parse().expect("a URL")])
         .calls(vec![call.parse().expect("a kind of calls")])
         .phases(vec!["1x:200ms".parse().expect("a phase")])
         .capacity_per_s(200.0)
@@ -141,21 +148,21 @@
 
 #[tokio::test]
 async fn only_whole_answers_count_as_good() {
-    let settings = TargetSettings::builder().service("shop").name("shop-1").listen(ANY);
+    let settings = TargetSettings::builder().service("shop").name("shop-1").listen(ANY_PORT);
     let target = Target::start(settings.service_ms(1.0).build()).expect("a target");
-    let entry = entry(target.address());
-    for record in records(&entry, "browse 1 GET /shop/pages/{n}?x=1", 1).await {
+    let node = node(target.address());
+    for record in run_records(&node, "browse 1 GET /shop/pages/{n}?x=1", 1).await {
         assert_eq!((record.outcome, record.attempts), (Outcome::Good, 1), "{record:?}");
         assert_eq!(record.arm, "main");
     }
-    for record in records(&entry, "refused 1 GET /shop/refused/{n}", 2).await {
+    for record in run_records(&node, "refused 1 GET /shop/refused/{n}", 2).await {
         assert_eq!((record.outcome, record.attempts), (Outcome::NotRun, 3), "{record:?}");
     }
-    for record in records(&entry, "other 1 GET /shop/shop/{n}", 0).await {
+    for record in run_records(&node, "other 1 GET /shop/shop/{n}", 0).await {
         assert_eq!(record.outcome, Outcome::Good, "{record:?}");
     }
     target.inject_fault(&FaultRequest { mode: FaultMode::Truncate, factor: 1.0, for_ms: None });
-    for record in records(&entry, "cut 1 GET /shop/pages/{n}", 0).await {
+    for record in run_records(&node, "cut 1 GET /shop/pages/{n}", 0).await {
         assert_eq!(record.outcome, Outcome::Wrong, "{record:?}");
     }
 }
--- a/tests/standin_platform.rs
+++ b/tests/standin_platform.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of the platform keep to the protocol that the nodes rely on.
+//! The stand-ins of the platform and of the trace collector follow the protocols that nodes rely on.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,7 +8,8 @@
 use reqwest::Client;
 use serde_json::{Value, json};
 
-const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+const ANY_PORT: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 fn http() -> Client {
     client::client(Duration::from_secs(5)).expect("a client")
@@ -18,14 +19,14 @@
     format!("{}/tables/aspenspring/rows/{key}", server.url())
 }
 
-async fn fault(server: &Server, order: Value) {
-    let sent = http().post(format!("{}/fault", server.url())).json(&order).send().await;
+async fn inject_fault(server: &Server, request: Value) {
+    let sent = http().post(format!("{}/fault", server.url())).json(&request).send().await;
     assert_eq!(sent.expect("an answer").status(), 204);
 }
 
 #[tokio::test]
 async fn rows_are_written_by_compare_and_set() {
-    let table = start_table(ANY).expect("a table service");
+    let table = start_table(ANY_PORT).expect("a table service");
     let http = http();
     let url = row_url(&table, "member:souq-stock:a.b_c-1");
 
@@ -51,7 +52,7 @@
 
 #[tokio::test]
 async fn rows_are_listed_by_prefix_and_deleted() {
-    let table = start_table(ANY).expect("a table service");
+    let table = start_table(ANY_PORT).expect("a table service");
     let http = http();
     for key in ["member:a:1", "member:a:2", "member:b:1"] {
         let put = http.put(row_url(&table, key)).json(&json!(key)).send().await.unwrap();
@@ -74,25 +75,25 @@
 
 #[tokio::test]
 async fn a_lost_answer_took_effect_and_a_service_that_is_down_did_nothing() {
-    let table = start_table(ANY).expect("a table service");
+    let table = start_table(ANY_PORT).expect("a table service");
     let http = http();
 
-    fault(&table, json!({"mode": "lose_answers"})).await;
+    inject_fault(&table, json!({"mode": "lose_answers"})).await;
     let lost = http.put(row_url(&table, "lost")).json(&json!(1)).send().await;
     assert!(lost.is_err(), "the connection closes without an answer: {lost:?}");
     assert_eq!(http.get(row_url(&table, "lost")).send().await.unwrap().status(), 200);
 
-    fault(&table, json!({"mode": "down"})).await;
+    inject_fault(&table, json!({"mode": "down"})).await;
     assert!(http.put(row_url(&table, "down")).json(&json!(1)).send().await.is_err());
     assert!(http.get(row_url(&table, "lost")).send().await.is_err());
 
-    fault(&table, json!({"mode": "up"})).await;
+    inject_fault(&table, json!({"mode": "up"})).await;
     assert_eq!(http.get(row_url(&table, "down")).send().await.unwrap().status(), 404);
 }
 
 #[tokio::test]
 async fn objects_are_created_once_when_asked() {
-    let objects = start_objects(ANY).expect("an object store");
+    let objects = start_objects(ANY_PORT).expect("an object store");
     let http = http();
     let url = format!("{}/objects/configuration-1", objects.url());
     let put = http.put(&url).header("if-none-match", "*").body("first");
@@ -108,7 +109,7 @@
 
 #[tokio::test]
 async fn the_collector_lists_spans() {
-    let collector = collector::start(ANY).expect("a collector");
+    let collector = collector::start(ANY_PORT).expect("a collector");
     let span = json!({"traceId": "01", "spanId": "02", "name": "hop"});
     let export = json!({"resourceSpans": [{
         "resource": {"attributes": [{"key": "service.name"}]},
--- a/tests/standin_target.rs
+++ b/tests/standin_target.rs
@@ -1,16 +1,17 @@
-//! The stand-in target tells the truth about what it ran.
+//! The stand-in target reports correctly which calls it ran.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use aspenspring::standin::answer::{Answer, Echo};
 use aspenspring::standin::client;
-use aspenspring::standin::exchange::Reply;
+use aspenspring::standin::message::Reply;
 use aspenspring::standin::server::Server;
 use aspenspring::standin::target::{FaultMode, FaultRequest, RunEnd, Target, TargetSettings};
 use reqwest::Client;
 
-const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+const ANY_PORT: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 fn http() -> Client {
     client::client(Duration::from_secs(5)).expect("a client")
@@ -24,46 +25,47 @@
     answer.headers().get("aspenspring-verdict").is_some_and(|value| value == "not-run")
 }
 
-/// Returns once `done` holds; the test's own timeout is the HTTP client's.
-async fn until(done: impl Fn() -> bool) {
+/// Polls until `condition` holds, for about 5 s, the timeout of the HTTP client.
+async fn wait_until(condition: impl Fn() -> bool) {
     for _ in 0..5_000 {
-        if done() {
+        if condition() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    panic!("the target did not get there");
+    panic!("the condition did not hold in time");
 }
 
-/// A stand-in for the nodes between two targets: it takes the service off the path.
-fn relay(child: SocketAddr) -> Server {
+/// Stands in for the nodes between two targets: forwards calls to `child` without the service in the
+/// path, and checks that they carry the parent's call header.
+fn child_proxy(child: SocketAddr) -> Server {
     let http = http();
-    let relayed = move |exchange: aspenspring::standin::exchange::Exchange| {
+    let forward = move |request: aspenspring::standin::message::Request| {
         let http = http.clone();
         async move {
-            if exchange.path.starts_with("/_aspenspring/") {
+            if request.path.starts_with("/_aspenspring/") {
                 return Reply::empty(204);
             }
-            assert_eq!(exchange.header("aspenspring-call"), Some("parent"));
-            let path = exchange.target();
+            assert_eq!(request.header("aspenspring-call"), Some("parent"));
+            let path = request.target();
             let (_, rest) = path[1..].split_once('/').expect("a service and a path");
             let url = format!("http://{child}/{rest}");
-            let answer = http.post(url).body(exchange.body).send().await.expect("an answer");
+            let answer = http.post(url).body(request.body).send().await.expect("an answer");
             let status = answer.status().as_u16();
             let body = answer.bytes().await.expect("a body");
             Reply { status, body: body.to_vec(), ..Reply::default() }
         }
     };
-    Server::start(ANY, 1, relayed).expect("a relay")
+    Server::start(ANY_PORT, 1, forward).expect("a proxy")
 }
 
 #[tokio::test]
-async fn an_answer_holds_the_answers_of_the_services_below() {
-    let settings = TargetSettings::builder().service("souq-stock").name("stock-1").listen(ANY);
+async fn an_answer_includes_the_answers_to_child_calls() {
+    let settings = TargetSettings::builder().service("souq-stock").name("stock-1").listen(ANY_PORT);
     let child = Target::start(settings.service_ms(1.0).build()).expect("a target");
-    let node = relay(child.address());
+    let node = child_proxy(child.address());
     let settings = TargetSettings::builder().service("souq-catalogue").name("catalogue-1");
-    let settings = settings.listen(ANY).node(node.address()).service_ms(1.0);
+    let settings = settings.listen(ANY_PORT).node(node.address()).service_ms(1.0);
     let calls = vec!["souq-stock".to_owned(), "souq-stock".to_owned()];
     for parallel in [false, true] {
         let settings = settings.clone().calls(calls.clone()).parallel(parallel).build();
@@ -72,8 +74,8 @@
         let sent = http().post(url).header("aspenspring-call", "parent").body("x").send().await;
         let answer: Answer = sent.unwrap().json().await.unwrap();
         let echo = Echo::new("POST", "/page?n=2", b"x");
-        assert!(answer.is_whole("souq-catalogue", &echo));
-        assert!(!answer.is_whole("souq-catalogue", &Echo::new("POST", "/page?n=2", b"y")));
+        assert!(answer.is_complete("souq-catalogue", &echo));
+        assert!(!answer.is_complete("souq-catalogue", &Echo::new("POST", "/page?n=2", b"y")));
         assert_eq!(answer.children.len(), 2);
         assert_eq!(answer.depth(), 2);
     }
@@ -88,14 +90,14 @@
 }
 
 #[tokio::test]
-async fn a_call_that_expires_in_the_queue_was_not_run_and_frees_nothing_it_had_not() {
-    let settings = TargetSettings::builder().service("s").name("s-1").listen(ANY).slots(1);
+async fn a_call_that_expires_in_the_queue_did_not_run_and_releases_no_slot() {
+    let settings = TargetSettings::builder().service("s").name("s-1").listen(ANY_PORT).slots(1);
     let target = Target::start(settings.service_ms(0.0).build()).expect("a target");
     target.inject_fault(&fault_request(FaultMode::Stall));
     let url = format!("{}/page", target.url());
     let first = http().get(&url).header("idempotency-key", "k1").header("aspenspring-call", "c1");
     let first = tokio::spawn(first.send());
-    until(|| target.run_stats().runs == 1).await;
+    wait_until(|| target.run_stats().runs == 1).await;
 
     let second = http().get(&url).header("aspenspring-deadline-ms", "20").send().await.unwrap();
     assert_eq!(second.status(), 504);
@@ -119,7 +121,7 @@
 
 #[tokio::test]
 async fn a_running_call_stops_at_its_deadline_and_does_not_claim_not_run() {
-    let settings = TargetSettings::builder().service("s").name("s-1").listen(ANY).slots(1);
+    let settings = TargetSettings::builder().service("s").name("s-1").listen(ANY_PORT).slots(1);
     let target = Target::start(settings.build()).expect("a target");
     target.inject_fault(&fault_request(FaultMode::Stall));
     let url = format!("{}/page", target.url());
@@ -131,18 +133,18 @@
 
 #[tokio::test]
 async fn arms_with_dedicated_slots_do_not_disturb_each_other() {
-    let settings = TargetSettings::builder().service("s").name("s-1").listen(ANY).slots(1);
+    let settings = TargetSettings::builder().service("s").name("s-1").listen(ANY_PORT).slots(1);
     let settings = settings.arm_slots(vec![("a".to_owned(), 1)]).queue_max(0);
     let target = Target::start(settings.service_ms(0.0).build()).expect("a target");
     target.inject_fault(&fault_request(FaultMode::Stall));
     let url = format!("{}/page", target.url());
     let busy = tokio::spawn(http().get(&url).header("aspenspring-arm", "a").send());
-    until(|| target.run_stats().runs == 1).await;
+    wait_until(|| target.run_stats().runs == 1).await;
     let full = http().get(&url).header("aspenspring-arm", "a").send().await.unwrap();
     assert_eq!(full.status(), 503);
     assert!(says_not_run(&full));
     let other = tokio::spawn(http().get(&url).header("aspenspring-arm", "b").send());
-    until(|| target.run_stats().runs == 2).await;
+    wait_until(|| target.run_stats().runs == 2).await;
     target.inject_fault(&fault_request(FaultMode::Ok));
     assert_eq!(busy.await.unwrap().unwrap().status(), 200);
     assert_eq!(other.await.unwrap().unwrap().status(), 200);
@@ -150,25 +152,25 @@
 
 #[tokio::test]
 async fn answers_can_be_cut_off_or_never_sent() {
-    let settings = TargetSettings::builder().service("s").name("s-1").listen(ANY);
+    let settings = TargetSettings::builder().service("s").name("s-1").listen(ANY_PORT);
     let target = Target::start(settings.service_ms(0.0).build()).expect("a target");
     let url = format!("{}/page", target.url());
     target.inject_fault(&fault_request(FaultMode::Close));
     assert!(http().get(&url).send().await.is_err());
     target.inject_fault(&fault_request(FaultMode::Truncate));
-    let cut = http().get(&url).send().await.expect("a status line");
-    assert!(cut.bytes().await.is_err());
+    let truncated = http().get(&url).send().await.expect("a status line");
+    assert!(truncated.bytes().await.is_err());
     assert_eq!(target.run_stats().runs, 2, "both were run, and neither was sent again");
 }
 
 #[tokio::test]
 async fn a_target_that_leaves_finishes_what_it_runs() {
-    let settings = TargetSettings::builder().service("s").name("s-1").listen(ANY);
+    let settings = TargetSettings::builder().service("s").name("s-1").listen(ANY_PORT);
     let target = Target::start(settings.service_ms(0.0).build()).expect("a target");
     target.inject_fault(&fault_request(FaultMode::Stall));
     let url = format!("{}/page", target.url());
     let running = tokio::spawn(http().get(&url).send());
-    until(|| target.run_stats().runs == 1).await;
+    wait_until(|| target.run_stats().runs == 1).await;
     let drain = format!("{}/_aspenspring/drain", target.url());
     assert_eq!(http().post(drain).send().await.unwrap().status(), 204);
     let late = http().get(&url).send().await.unwrap();
