--- a/src/duty/answer.rs
+++ b/src/duty/answer.rs
@@ -1,4 +1,4 @@
-//! How verdicts look to whoever made a request: status, headers and problem details.
+//! Renders verdicts as HTTP responses: status, headers and problem details.
 
 use std::io::Cursor;
 
@@ -11,13 +11,13 @@
 
 use super::problem::Problem;
 
-/// When to come back to a node that could not even take a request in, in milliseconds.
+/// `Retry-After` for requests that were rejected before the node accepted them, in milliseconds.
 const REFUSED_RETRY_MS: u32 = 1_000;
 
-/// The answer at the end of a request.
+/// Renders the outcome of a request that the node decided about.
 pub fn respond(request: &Request<'_>, end: CallEnd) -> Response<'static> {
     let mut response = match &end.verdict {
-        Verdict::Answered(answer) => pass_answer(answer),
+        Verdict::Answered(answer) => forward_answer(answer),
         Verdict::NotRun(refusal) => render(request, not_run(refusal)),
         Verdict::MayHaveRun(doubt) => render(request, may_have_run(*doubt)),
     };
@@ -30,7 +30,7 @@
     response
 }
 
-/// A problem as a response.
+/// Renders a problem; an empty response with the status where its body cannot be serialized.
 pub fn render(request: &Request<'_>, problem: Problem) -> Response<'static> {
     problem.respond_to(request).unwrap_or_else(|status| {
         let mut response = Response::new();
@@ -39,13 +39,15 @@
     })
 }
 
-/// The answer to a request that was refused before the node decided anything about it.
+/// The problem for a request that was rejected before it reached the node's state machine.
+///
+/// All reasons but `Malformed` carry a retry interval.
 pub fn refused(reason: RefusalReason) -> Problem {
-    let hopeless = reason == RefusalReason::Malformed;
-    not_run(&Refusal { reason, retry_after_ms: if hopeless { 0 } else { REFUSED_RETRY_MS } })
+    let is_permanent = reason == RefusalReason::Malformed;
+    not_run(&Refusal { reason, retry_after_ms: if is_permanent { 0 } else { REFUSED_RETRY_MS } })
 }
 
-/// The answer to a request that was not run.
+/// The problem for a request that was not run.
 fn not_run(refusal: &Refusal) -> Problem {
     let reason = refusal.reason.name();
     let problem = Problem::new(status_of(refusal.reason), "The request was not run")
@@ -57,7 +59,7 @@
     problem.retry_after_ms(u64::from(refusal.retry_after_ms))
 }
 
-/// The answer to a request of which nobody knows whether it ran.
+/// The problem for a request whose execution is uncertain.
 fn may_have_run(doubt: Doubt) -> Problem {
     let reason = doubt.name();
     let status = match doubt {
@@ -70,8 +72,8 @@
         .header(header::VERDICT, format!("may-have-run; reason={reason}"))
 }
 
-/// A target's answer as it is passed on.
-fn pass_answer(answer: &HttpAnswer) -> Response<'static> {
+/// Copies a target's answer into a response.
+fn forward_answer(answer: &HttpAnswer) -> Response<'static> {
     let mut response = Response::new();
     response.set_status(Status::new(answer.status));
     for (name, value) in &answer.headers {
@@ -82,7 +84,7 @@
     response
 }
 
-/// The HTTP status of a refusal.
+/// Maps a refusal to its HTTP status.
 fn status_of(reason: RefusalReason) -> u16 {
     match reason {
         RefusalReason::Shed | RefusalReason::QueueFull => 429,
--- a/src/duty/decider.rs
+++ b/src/duty/decider.rs
@@ -1,4 +1,5 @@
-//! The thread that owns the node: it takes events from one bounded ring and carries actions out.
+//! The decider thread: owns the node's state machine, feeds it events from one bounded ring and
+//! dispatches the resulting actions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,222 +12,223 @@
 use tokio::sync::oneshot;
 
 use crate::clock::{Clock, US_PER_S};
-use crate::duty::desk::Desk;
-use crate::duty::note::Notes;
+use crate::duty::note::NoteSink;
 use crate::duty::operator::OperatorRequest;
+use crate::duty::operator_responder::OperatorResponder;
 use crate::duty::peer::PeerHandle;
 use crate::duty::recorder::Recorder;
 use crate::duty::store::{Certainty, StoreError, StoreEvent, StoreHandle, StoreRequest};
 use crate::duty::target::TargetHandle;
 use crate::node::{CallEnd, Node, NodeAction, NodeEvent, TargetOutcome, Ticket};
 
-/// New calls are refused when the ring is fuller than one part in this many, which leaves room for
-/// the answers that end calls.
-const CALL_SHARE_DIVISOR: usize = 2;
-/// How many events are taken in one go before the wake-up time is computed again.
-const BATCH: usize = 64;
-/// The longest the thread sleeps, so that a stopped clock in a test cannot hold it for ever.
-const SLEEP_MAX: Duration = Duration::from_secs(1);
+/// New work is refused once the ring is more than `1 / NEW_WORK_RING_DIVISOR` full, which reserves
+/// room for the events that complete calls.
+const NEW_WORK_RING_DIVISOR: usize = 2;
+/// The most queued events handled before the wake-up time is computed again.
+const BATCH_EVENTS_MAX: usize = 64;
+/// The longest wait for an event, so that a paused clock in a test cannot block the thread forever.
+const WAIT_MAX: Duration = Duration::from_secs(1);
 
 /// One entry of the ring.
 #[derive(Debug)]
 enum Entry {
-    /// Something that happened.
+    /// An event without a reply.
     Event(NodeEvent),
-    /// A request that waits for its end.
+    /// A request that is answered when its call ends.
     Call {
-        /// Its ticket.
+        /// Identifies the request.
         ticket: Ticket,
-        /// The event that carries it.
+        /// The event that carries the request.
         event: NodeEvent,
-        /// Where its end goes.
+        /// Receives the end of the call.
         reply: oneshot::Sender<CallEnd>,
     },
-    /// A request of an operator.
+    /// An operator's request.
     Operator(OperatorRequest),
 }
 
-/// The ring was full, or the node has stopped: the event was not taken in.
+/// The ring was full, or the node has stopped; the event was not queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the node's ring is full")]
+#[error("the node's event ring is full")]
 pub struct RingFull;
 
-/// Puts events into the ring.
+/// Queues events for the decider thread.
 #[derive(Clone, Debug)]
 pub struct DeciderHandle {
-    /// The ring.
+    /// The sending end of the ring.
     ring: Sender<Entry>,
-    /// Numbers tickets.
+    /// The next ticket number.
     tickets: Arc<AtomicU64>,
-    /// Counts what the ring had no room for.
+    /// Counts new work that was refused because the ring was too full.
     refused: Counter,
 }
 
 impl DeciderHandle {
-    /// A ring of `entries`, and the end the decider takes from.
+    /// Creates a ring of `entries`; returns its sending and its receiving end.
     pub fn ring(entries: usize) -> (Self, DeciderRing) {
-        let (ring, taken) = crossbeam_channel::bounded(entries);
-        (Self { ring, tickets: Arc::default(), refused: Counter::noop() }, DeciderRing(taken))
+        let (ring, receiver) = crossbeam_channel::bounded(entries);
+        (Self { ring, tickets: Arc::default(), refused: Counter::noop() }, DeciderRing(receiver))
     }
 
-    /// The same handle, which counts what the ring has no room for.
-    pub fn counting(self, refused: Counter) -> Self {
+    /// Counts refused new work in `refused`.
+    pub fn with_refused_counter(self, refused: Counter) -> Self {
         Self { refused, ..self }
     }
 
-    /// Puts something new into the ring, unless it is too full.
-    fn put(&self, entry: Entry) -> Result<(), RingFull> {
+    /// Queues new work unless the ring is too full.
+    fn try_push(&self, entry: Entry) -> Result<(), RingFull> {
         let capacity = self.ring.capacity().unwrap_or(usize::MAX);
-        let crowded = self.ring.len() > capacity / CALL_SHARE_DIVISOR;
-        if crowded || self.ring.try_send(entry).is_err() {
+        let over_limit = self.ring.len() > capacity / NEW_WORK_RING_DIVISOR;
+        if over_limit || self.ring.try_send(entry).is_err() {
             self.refused.increment(1);
             return Err(RingFull);
         }
         Ok(())
     }
 
-    /// Hands a new request in, unless the ring is too full, and returns its ticket and where its end
-    /// will come.
-    pub fn call(
+    /// Queues a new request unless the ring is too full. Returns its ticket and the receiver of the
+    /// call's end.
+    pub fn submit_call(
         &self,
-        make: impl FnOnce(Ticket) -> NodeEvent,
+        make_event: impl FnOnce(Ticket) -> NodeEvent,
     ) -> Result<(Ticket, oneshot::Receiver<CallEnd>), RingFull> {
         let ticket = Ticket(self.tickets.fetch_add(1, Ordering::Relaxed));
-        let (reply, end) = oneshot::channel();
-        self.put(Entry::Call { ticket, event: make(ticket), reply })?;
-        Ok((ticket, end))
+        let (reply, end_receiver) = oneshot::channel();
+        self.try_push(Entry::Call { ticket, event: make_event(ticket), reply })?;
+        Ok((ticket, end_receiver))
     }
 
-    /// Hands in something new that may be refused.
-    pub fn offer(&self, event: NodeEvent) -> Result<(), RingFull> {
-        self.put(Entry::Event(event))
+    /// Queues an event for new work, which may be refused.
+    pub fn try_submit_event(&self, event: NodeEvent) -> Result<(), RingFull> {
+        self.try_push(Entry::Event(event))
     }
 
-    /// Hands in something that must not be lost, waiting for room; false once the node has stopped.
-    pub fn tell(&self, event: NodeEvent) -> bool {
+    /// Queues an event that must not be lost, blocking while the ring is full. Returns false once the
+    /// node has stopped.
+    pub fn submit_event(&self, event: NodeEvent) -> bool {
         self.ring.send(Entry::Event(event)).is_ok()
     }
 
-    /// Hands a request of an operator in, or gives it back where there is no room.
-    pub fn ask(&self, request: OperatorRequest) -> Result<(), OperatorRequest> {
+    /// Queues an operator's request, or returns it when the ring is full or the node has stopped.
+    pub fn try_submit_operator(&self, request: OperatorRequest) -> Result<(), OperatorRequest> {
         match self.ring.try_send(Entry::Operator(request)) {
             Ok(()) => Ok(()),
             Err(TrySendError::Full(entry) | TrySendError::Disconnected(entry)) => match entry {
                 Entry::Operator(request) => Err(request),
-                // What was put in is what comes back.
+                // Unreachable: the channel returns the entry that was sent.
                 Entry::Event(_) | Entry::Call { .. } => Ok(()),
             },
         }
     }
 
-    /// How many entries the ring holds now.
-    pub fn fill(&self) -> usize {
+    /// The number of queued entries.
+    pub fn queue_len(&self) -> usize {
         self.ring.len()
     }
 }
 
-/// The end of the ring that the decider takes from.
+/// The receiving end of the decider's ring.
 #[derive(Debug)]
 pub struct DeciderRing(Receiver<Entry>);
 
-/// The threads that carry actions out.
-pub struct Hands {
-    /// Carries messages to other nodes.
+/// Handles of the I/O threads that execute the node's actions.
+pub struct IoHandles {
+    /// Sends messages to other nodes.
     pub peers: PeerHandle,
-    /// Carries requests to the target.
+    /// Sends requests to the target.
     pub target: TargetHandle,
-    /// Carries requests to the platform.
+    /// Sends requests to the platform's table service.
     pub store: StoreHandle,
 }
 
-/// Starts the thread; it ends when the node asks to be stopped.
+/// Starts the decider thread; it ends when the node requests its exit.
 pub fn start(
     mut node: Node,
     clock: Clock,
     ring: DeciderRing,
-    hands: Hands,
-    notes: Notes,
+    io: IoHandles,
+    note_sink: NoteSink,
     recorder: Recorder,
 ) -> std::io::Result<JoinHandle<()>> {
     std::thread::Builder::new().name("decider".to_owned()).spawn(move || {
         let mut decider = Decider {
             clock,
-            hands,
-            notes,
+            io,
+            note_sink,
             recorder,
-            desk: Desk::default(),
-            next_show_us: 0,
-            waiting: HashMap::new(),
-            stop: false,
+            operators: OperatorResponder::default(),
+            next_load_sample_us: 0,
+            pending_calls: HashMap::new(),
+            stopping: false,
         };
         decider.run(&mut node, &ring.0);
         decider.recorder.finish();
     })
 }
 
-/// What the thread keeps beside the node.
+/// The state of the decider thread other than the node.
 struct Decider {
-    /// Writes down what the node is told, where that is wanted.
+    /// Records the node's input events, if recording is enabled.
     recorder: Recorder,
-    /// The time.
+    /// The clock that stamps events.
     clock: Clock,
-    /// The other threads.
-    hands: Hands,
-    /// Where notes go.
-    notes: Notes,
-    /// Who waits among operators.
-    desk: Desk,
-    /// When the loads are shown next, in microseconds.
-    next_show_us: u64,
-    /// Where the ends of requests go.
-    waiting: HashMap<Ticket, oneshot::Sender<CallEnd>>,
-    /// Whether the node has asked to be stopped.
-    stop: bool,
+    /// The I/O threads.
+    io: IoHandles,
+    /// Receives the node's notes: log events, metrics and spans.
+    note_sink: NoteSink,
+    /// Answers operators' requests.
+    operators: OperatorResponder,
+    /// When the load metrics are updated next, in microseconds.
+    next_load_sample_us: u64,
+    /// The reply channels of calls in flight.
+    pending_calls: HashMap<Ticket, oneshot::Sender<CallEnd>>,
+    /// Whether the node has requested its exit.
+    stopping: bool,
 }
 
 impl Decider {
-    /// Takes events until the node asks to be stopped.
+    /// Handles events until the node requests its exit.
     fn run(&mut self, node: &mut Node, ring: &Receiver<Entry>) {
-        while !self.stop {
-            let wait = self.time_to_wake(node);
+        while !self.stopping {
+            let wait = self.time_until_wake(node);
             match ring.recv_timeout(wait) {
-                Ok(entry) => self.take(node, entry),
+                Ok(entry) => self.handle_entry(node, entry),
                 Err(RecvTimeoutError::Timeout) => self.handle(node, NodeEvent::Tick),
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            for entry in ring.try_iter().take(BATCH) {
-                self.take(node, entry);
+            for entry in ring.try_iter().take(BATCH_EVENTS_MAX) {
+                self.handle_entry(node, entry);
             }
-            self.show_loads(node);
+            self.record_loads(node);
         }
     }
 
-    /// Shows the loads of the arms now and then.
-    fn show_loads(&mut self, node: &Node) {
+    /// Updates the load metrics of the arms once per second.
+    fn record_loads(&mut self, node: &Node) {
         let now_us = self.clock.now_us();
-        if now_us < self.next_show_us {
+        if now_us < self.next_load_sample_us {
             return;
         }
-        self.next_show_us = now_us + US_PER_S;
-        self.notes.show_loads(&node.loads(now_us));
+        self.next_load_sample_us = now_us + US_PER_S;
+        self.note_sink.record_loads(&node.loads(now_us));
     }
 
-    /// How long nothing is due.
-    fn time_to_wake(&self, node: &Node) -> Duration {
-        let Some(at_us) = node.next_wake_us() else { return SLEEP_MAX };
-        Duration::from_micros(at_us.saturating_sub(self.clock.now_us())).min(SLEEP_MAX)
+    /// How long the thread may wait until the node's next deadline.
+    fn time_until_wake(&self, node: &Node) -> Duration {
+        let Some(at_us) = node.next_wake_us() else { return WAIT_MAX };
+        Duration::from_micros(at_us.saturating_sub(self.clock.now_us())).min(WAIT_MAX)
     }
 
-    /// Takes one entry of the ring.
-    fn take(&mut self, node: &mut Node, entry: Entry) {
+    /// Handles one entry of the ring.
+    fn handle_entry(&mut self, node: &mut Node, entry: Entry) {
         match entry {
             Entry::Event(event) => self.handle(node, event),
             Entry::Call { ticket, event, reply } => {
-                self.waiting.insert(ticket, reply);
+                self.pending_calls.insert(ticket, reply);
                 self.handle(node, event);
             }
             Entry::Operator(request) => {
-                let event = self.desk.take(self.clock.now_us(), node, request);
+                let event = self.operators.handle(self.clock.now_us(), node, request);
                 if let Some(event) = event {
                     self.handle(node, event);
                 }
@@ -234,7 +236,8 @@
         }
     }
 
-    /// Lets the node decide and carries its actions out.
+    /// Passes an event to the node and executes the resulting actions. Actions that fail are fed back
+    /// as events.
     fn handle(&mut self, node: &mut Node, event: NodeEvent) {
         let mut actions = Vec::new();
         let now_us = self.clock.now_us();
@@ -242,59 +245,59 @@
         node.handle(now_us, event, &mut actions);
         let mut failed = Vec::new();
         for action in actions {
-            self.carry_out(action, &mut failed);
+            self.execute(action, &mut failed);
         }
         for event in failed {
             self.handle(node, event);
         }
     }
 
-    /// Carries one action out; what could not be done comes back as an event.
-    fn carry_out(&mut self, action: NodeAction, failed: &mut Vec<NodeEvent>) {
+    /// Executes one action; a failure is added to `failed` as an event.
+    fn execute(&mut self, action: NodeAction, failed: &mut Vec<NodeEvent>) {
         match action {
             NodeAction::Reply { ticket, end } => self.reply(ticket, end),
             NodeAction::Send { to, message } => {
-                if self.hands.peers.send(to, &message).is_err() {
+                if self.io.peers.send(to, &message).is_err() {
                     failed.push(NodeEvent::SendFailed { message });
                 }
             }
             NodeAction::Return { path, message } => {
-                // A reply that cannot be sent is settled by the sender's own deadline or fence.
-                let _ = self.hands.peers.reply(path, &message);
+                // If the reply cannot be sent, the sender's deadline or fence settles the attempt.
+                let _ = self.io.peers.reply(path, &message);
             }
-            NodeAction::Forget { peer } => self.hands.peers.forget(peer),
+            NodeAction::Forget { peer } => self.io.peers.forget(peer),
             NodeAction::RunTarget(call) => {
                 let attempt = call.attempt;
-                if self.hands.target.run(*call).is_err() {
+                if self.io.target.run(*call).is_err() {
                     let outcome = TargetOutcome::NoRoom;
                     failed.push(NodeEvent::TargetEnded { attempt, outcome });
                 }
             }
-            NodeAction::AbortTarget { attempt } => self.hands.target.abort(attempt),
-            NodeAction::Store(request) => self.submit(request, failed),
+            NodeAction::AbortTarget { attempt } => self.io.target.abort(attempt),
+            NodeAction::Store(request) => self.submit_to_store(request, failed),
             NodeAction::Submitted { submission, outcome } => {
-                self.desk.submitted(submission, outcome);
+                self.operators.complete_submission(submission, outcome);
             }
-            NodeAction::Note(note) => self.notes.take(note),
-            NodeAction::Exit => self.stop = true,
+            NodeAction::Note(note) => self.note_sink.record(note),
+            NodeAction::Exit => self.stopping = true,
         }
     }
 
-    /// Hands a request to the thread that talks to the platform.
-    fn submit(&self, request: StoreRequest, failed: &mut Vec<NodeEvent>) {
+    /// Queues a request to the table service; a full queue is reported as an event.
+    fn submit_to_store(&self, request: StoreRequest, failed: &mut Vec<NodeEvent>) {
         let id = request.id;
-        if self.hands.store.try_submit(request).is_ok() {
+        if self.io.store.try_submit(request).is_ok() {
             return;
         }
-        let cause = "the ring to the table service's thread is full".to_owned();
+        let cause = "the ring to the store thread is full".to_owned();
         let error = StoreError { certainty: Certainty::NotApplied, cause };
         failed.push(NodeEvent::Store(StoreEvent { id, outcome: Err(error) }));
     }
 
-    /// Ends a request of one of the node's own listeners.
+    /// Completes a request of one of the node's own listeners.
     fn reply(&mut self, ticket: Ticket, end: CallEnd) {
-        if let Some(reply) = self.waiting.remove(&ticket) {
-            // The caller may have gone; its slot and allowance are free already.
+        if let Some(reply) = self.pending_calls.remove(&ticket) {
+            // The caller may have disconnected; its slot and allowance are already released.
             let _ = reply.send(end);
         }
     }
--- a/src/duty/http.rs
+++ b/src/duty/http.rs
@@ -1,4 +1,4 @@
-//! The listeners for outside callers and for the target beside this node.
+//! HTTP handlers for external callers and for the node's own target.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -19,16 +19,16 @@
 use super::web::CallerGone;
 use super::{answer, web};
 
-/// What the node's own paths begin with.
-const OWN_PREFIX: &str = "/_aspenspring/";
-/// The path under which outside callers get keys.
+/// The prefix of paths that the node serves itself.
+const INTERNAL_PATH_PREFIX: &str = "/_aspenspring/";
+/// The prefix of paths at which callers mint idempotency keys; the service follows it.
 const KEYS_PREFIX: &str = "/_aspenspring/keys/";
-/// The path under which a target announces itself.
+/// The path at which a target announces itself.
 const ANNOUNCE_PATH: &str = "/_aspenspring/announce";
-/// The path under which a target asks for no new work.
+/// The path at which a target requests a drain.
 const DRAIN_PATH: &str = "/_aspenspring/drain";
-/// The methods that are passed on.
-const METHODS: [Method; 7] = [
+/// The methods that are forwarded.
+const FORWARDED_METHODS: [Method; 7] = [
     Method::Get,
     Method::Put,
     Method::Post,
@@ -37,78 +37,78 @@
     Method::Head,
     Method::Patch,
 ];
-/// The most headers of one request.
+/// The maximum number of headers of a request.
 const HEADERS_MAX: usize = 100;
-/// The most bytes of all headers of one request.
+/// The maximum total length of a request's header names and values, in bytes.
 const HEADERS_MAX_BYTES: usize = 32 << 10;
 
-/// Who connects to a listener.
+/// Which kind of client connects to a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
-    /// Callers outside of the site.
+pub enum ClientKind {
+    /// Callers outside the site.
     Caller,
-    /// The target beside this node.
+    /// The node's own target.
     Target,
 }
 
-/// Takes requests in on one listener and answers them.
+/// Serves all requests of one listener.
 #[derive(Clone)]
-pub struct Gate {
-    /// Who connects.
-    pub side: Side,
-    /// Where requests go.
+pub struct ProxyHandler {
+    /// The kind of client that connects.
+    pub client: ClientKind,
+    /// Queues requests for the node.
     pub decider: DeciderHandle,
-    /// The longest body of a request, in bytes.
+    /// The maximum length of a request body, in bytes.
     pub body_max_bytes: usize,
     /// How long a request's body may take to arrive, in milliseconds.
     pub request_read_ms: u64,
-    /// The room for bodies on all listeners.
-    pub bodies: BodyRoom,
+    /// The memory for request bodies, shared by all listeners.
+    pub body_budget: BodyBudget,
 }
 
-/// Counts the bytes of bodies that are held at once.
+/// Limits the total bytes of request bodies held in memory.
 #[derive(Clone, Debug)]
-pub struct BodyRoom {
-    /// Bytes held.
+pub struct BodyBudget {
+    /// The bytes reserved now.
     held_bytes: Arc<AtomicUsize>,
-    /// The most bytes.
+    /// The maximum, in bytes.
     max_bytes: usize,
 }
 
-impl BodyRoom {
-    /// Room for `max_bytes`.
+impl BodyBudget {
+    /// Creates a budget of `max_bytes`.
     pub fn new(max_bytes: usize) -> Self {
         Self { held_bytes: Arc::default(), max_bytes }
     }
 
-    /// Takes room for `bytes`, or none where there is not enough.
-    fn take(&self, bytes: usize) -> Option<RoomTaken> {
+    /// Reserves `bytes`, or returns `None` if they exceed the budget.
+    fn try_reserve(&self, bytes: usize) -> Option<BodyReservation> {
         let before = self.held_bytes.fetch_add(bytes, Ordering::Relaxed);
-        let taken = RoomTaken { held_bytes: self.held_bytes.clone(), bytes };
-        (before + bytes <= self.max_bytes).then_some(taken)
+        let reservation = BodyReservation { held_bytes: self.held_bytes.clone(), bytes };
+        (before + bytes <= self.max_bytes).then_some(reservation)
     }
 }
 
-/// Room that is given back when this value goes.
+/// Reserved bytes of the budget, released on drop.
 #[derive(Debug)]
-struct RoomTaken {
-    /// The counter.
+struct BodyReservation {
+    /// The budget's counter.
     held_bytes: Arc<AtomicUsize>,
-    /// What was taken.
+    /// The bytes reserved.
     bytes: usize,
 }
 
-impl Drop for RoomTaken {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.held_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
 
-impl Gate {
+impl ProxyHandler {
     /// The routes of the listener: every method on every path.
     pub fn routes(&self) -> Vec<Route> {
         let mut routes = Vec::new();
-        for method in METHODS {
+        for method in FORWARDED_METHODS {
             routes.push(Route::new(method, "/<_..>", self.clone()));
         }
         routes
@@ -118,166 +118,176 @@
     async fn answer(&self, request: &Request<'_>, data: Data<'_>) -> Response<'static> {
         match self.serve(request, data).await {
             Ok(Served::End(end)) => answer::respond(request, end),
-            Ok(Served::Done) => Response::build().status(Status::NoContent).finalize(),
+            Ok(Served::Accepted) => Response::build().status(Status::NoContent).finalize(),
             Err(problem) => answer::render(request, problem),
         }
     }
 
-    /// Serves one request, or says what is wrong with it.
+    /// Serves one request; rejected requests are returned as a problem.
     async fn serve(&self, request: &Request<'_>, data: Data<'_>) -> Result<Served, Problem> {
         let path = request.uri().path().as_str();
         let body = web::read_body(data, self.body_max_bytes, self.request_read_ms).await?;
-        let room = self.bodies.take(body.len());
-        let Some(_room) = room else { return Err(answer::refused(RefusalReason::NodeFull)) };
-        if let Some(service) = path.strip_prefix(KEYS_PREFIX).filter(|_| self.side == Side::Caller)
+        let reservation = self.body_budget.try_reserve(body.len());
+        let Some(_reservation) = reservation else {
+            return Err(answer::refused(RefusalReason::NodeFull));
+        };
+        if let Some(service) =
+            path.strip_prefix(KEYS_PREFIX).filter(|_| self.client == ClientKind::Caller)
         {
             let service = service.to_owned();
-            return self.ask(request, |ticket| NodeEvent::MintKey { ticket, service }).await;
+            return self
+                .submit_and_wait(request, |ticket| NodeEvent::MintKey { ticket, service })
+                .await;
         }
-        if path.starts_with(OWN_PREFIX) {
-            return self.own_path(path, &body);
+        if path.starts_with(INTERNAL_PATH_PREFIX) {
+            return self.serve_internal(path, &body);
         }
-        self.pass_on(request, body).await
+        self.forward(request, body).await
     }
 
-    /// Serves the node's own paths.
-    fn own_path(&self, path: &str, body: &[u8]) -> Result<Served, Problem> {
+    /// Serves announcements and drain requests of the target.
+    fn serve_internal(&self, path: &str, body: &[u8]) -> Result<Served, Problem> {
         let event = match path {
-            ANNOUNCE_PATH if self.side == Side::Target => {
+            ANNOUNCE_PATH if self.client == ClientKind::Target => {
                 let announcement = serde_json::from_slice(body)
                     .map_err(|error| Problem::new(400, "Bad Request").detail(error.to_string()))?;
                 NodeEvent::TargetAnnounced(announcement)
             }
-            DRAIN_PATH if self.side == Side::Target => {
+            DRAIN_PATH if self.client == ClientKind::Target => {
                 NodeEvent::Leave { asked_by: LeaveRequester::Target }
             }
             _ => return Err(Problem::new(404, "Not Found")),
         };
-        let taken = self.decider.offer(event);
-        taken.map(|()| Served::Done).map_err(|_| answer::refused(RefusalReason::NodeFull))
+        let queued = self.decider.try_submit_event(event);
+        queued.map(|()| Served::Accepted).map_err(|_| answer::refused(RefusalReason::NodeFull))
     }
 
-    /// Passes a request on to a service.
-    async fn pass_on(&self, request: &Request<'_>, body: Bytes) -> Result<Served, Problem> {
-        let Some((service, path)) = split(&request.uri().to_string()) else {
+    /// Forwards a request to the service that its path names.
+    async fn forward(&self, request: &Request<'_>, body: Bytes) -> Result<Served, Problem> {
+        let Some((service, path)) = split_service(&request.uri().to_string()) else {
             return Err(answer::refused(RefusalReason::Malformed));
         };
-        let taken = take_headers(request, self.side)?;
-        let passed = HttpRequest {
+        let parsed = parse_headers(request, self.client)?;
+        let forwarded = HttpRequest {
             method: request.method().as_str().to_owned(),
             path,
-            headers: taken.passed,
+            headers: parsed.forwarded,
             body,
         };
-        let side = self.side;
-        let token = taken.token;
-        self.ask(request, |ticket| {
+        let client = self.client;
+        let token = parsed.token;
+        self.submit_and_wait(request, |ticket| {
             let incoming = IncomingRequest {
                 ticket,
                 service,
-                request: passed,
-                deadline_ms: taken.deadline_ms,
-                key: taken.key,
-                trace: taken.trace,
+                request: forwarded,
+                deadline_ms: parsed.deadline_ms,
+                key: parsed.key,
+                trace: parsed.trace,
             };
-            match side {
-                Side::Caller => NodeEvent::CallerCall(incoming),
-                Side::Target => NodeEvent::TargetCall { incoming, token },
+            match client {
+                ClientKind::Caller => NodeEvent::CallerCall(incoming),
+                ClientKind::Target => NodeEvent::TargetCall { incoming, token },
             }
         })
         .await
     }
 
-    /// Hands a request to the decider and waits for its end. When the caller goes away first, the
-    /// request is cancelled; its end then reaches nobody.
-    async fn ask(
+    /// Submits a request to the decider and waits until its call ends. When the caller disconnects
+    /// first, the call is cancelled and its end is discarded.
+    async fn submit_and_wait(
         &self,
         request: &Request<'_>,
         make: impl FnOnce(Ticket) -> NodeEvent,
     ) -> Result<Served, Problem> {
-        let Ok((ticket, mut end)) = self.decider.call(make) else {
+        let Ok((ticket, mut end)) = self.decider.submit_call(make) else {
             return Err(answer::refused(RefusalReason::NodeFull));
         };
         let gone = CallerGone::of(request);
         let ended = tokio::select! {
             ended = &mut end => ended,
             () = gone.wait() => {
-                // Without room for it the request ends by its deadline.
-                let _ = self.decider.offer(NodeEvent::CallerGone { ticket });
+                // If the ring is full, the call ends at its deadline instead.
+                let _ = self.decider.try_submit_event(NodeEvent::CallerGone { ticket });
                 end.await
             }
         };
-        // The decider ends only when nothing is in flight, so a ticket it drops never began.
+        // The decider exits only when no call is in flight, so a dropped ticket was never started.
         ended.map(Served::End).map_err(|_| answer::refused(RefusalReason::Leaving))
     }
 }
 
-/// What came of a request.
+/// How a request was served.
 enum Served {
-    /// It has ended.
+    /// The call has ended.
     End(CallEnd),
-    /// It concerned the node alone.
-    Done,
+    /// The node accepted it; there is nothing to return.
+    Accepted,
 }
 
 #[rocket::async_trait]
-impl Handler for Gate {
+impl Handler for ProxyHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
         Outcome::Success(self.answer(request, data).await)
     }
 }
 
-/// What the headers of a request say.
-struct TakenHeaders {
-    /// Headers that are passed on.
-    passed: Vec<(String, String)>,
-    /// The time the caller gives.
+/// The headers of a request, sorted by purpose.
+struct ParsedHeaders {
+    /// Headers to forward.
+    forwarded: Vec<(String, String)>,
+    /// The caller's deadline.
     deadline_ms: Option<u64>,
     /// The caller's idempotency key.
     key: Option<String>,
-    /// The caller's trace.
+    /// The caller's trace context.
     trace: Option<TraceContext>,
-    /// The call on whose behalf a target asks.
+    /// Names the call that the target is serving while it makes this one.
     token: Option<String>,
 }
 
-/// Sorts the headers of a request; internal ones are never passed on.
-fn take_headers(request: &Request<'_>, side: Side) -> Result<TakenHeaders, Problem> {
-    let mut taken =
-        TakenHeaders { passed: Vec::new(), deadline_ms: None, key: None, trace: None, token: None };
+/// Parses the headers of a request; internal and hop-by-hop headers are never forwarded.
+fn parse_headers(request: &Request<'_>, client: ClientKind) -> Result<ParsedHeaders, Problem> {
+    let mut parsed = ParsedHeaders {
+        forwarded: Vec::new(),
+        deadline_ms: None,
+        key: None,
+        trace: None,
+        token: None,
+    };
     let mut bytes = 0;
-    for (count, found) in request.headers().iter().enumerate() {
-        bytes += found.name().as_str().len() + found.value().len();
+    for (count, field) in request.headers().iter().enumerate() {
+        bytes += field.name().as_str().len() + field.value().len();
         if count >= HEADERS_MAX || bytes > HEADERS_MAX_BYTES {
             return Err(Problem::new(431, "Request Header Fields Too Large"));
         }
-        let name = found.name().as_str().to_ascii_lowercase();
-        let value = found.value();
+        let name = field.name().as_str().to_ascii_lowercase();
+        let value = field.value();
         match name.as_str() {
-            header::DEADLINE_MS => taken.deadline_ms = Some(parse_deadline(value)?),
-            header::IDEMPOTENCY_KEY => taken.key = Some(value.to_owned()),
-            header::TRACEPARENT => taken.trace = TraceContext::parse(value),
-            header::CALL if side == Side::Target => taken.token = Some(value.to_owned()),
+            header::DEADLINE_MS => parsed.deadline_ms = Some(parse_deadline(value)?),
+            header::IDEMPOTENCY_KEY => parsed.key = Some(value.to_owned()),
+            header::TRACEPARENT => parsed.trace = TraceContext::parse(value),
+            header::CALL if client == ClientKind::Target => parsed.token = Some(value.to_owned()),
             "host" | "content-length" | "expect" => {}
             name if name.starts_with(header::INTERNAL_PREFIX) => {}
             name if HOP_BY_HOP.contains(&name) => {}
-            _ => taken.passed.push((name, value.to_owned())),
+            _ => parsed.forwarded.push((name, value.to_owned())),
         }
     }
-    Ok(taken)
+    Ok(parsed)
 }
 
-/// The time a caller gives its request, in milliseconds.
+/// Parses the deadline header: a positive whole number of milliseconds.
 fn parse_deadline(value: &str) -> Result<u64, Problem> {
-    let parsed = value.trim().parse::<u64>().ok().filter(|ms| *ms > 0);
-    parsed.ok_or_else(|| {
+    let deadline_ms = value.trim().parse::<u64>().ok().filter(|ms| *ms > 0);
+    deadline_ms.ok_or_else(|| {
         let detail = format!("{} is a whole number above 0", header::DEADLINE_MS);
         Problem::new(400, "Bad Request").detail(detail)
     })
 }
 
-/// The service a path names, and the path below it with its query.
-fn split(uri: &str) -> Option<(String, String)> {
+/// Splits a URI into the service, which is its first path segment, and the rest with the query.
+fn split_service(uri: &str) -> Option<(String, String)> {
     let rest = uri.strip_prefix('/')?;
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
     let (service, below) = rest.split_at(end);
--- a/src/duty/launch.rs
+++ b/src/duty/launch.rs
@@ -1,4 +1,4 @@
-//! Starts all threads of a node, and stops them in order.
+//! Starts all threads of a node and stops them in order.
 
 use std::path::Path;
 use std::sync::{Arc, OnceLock};
@@ -21,25 +21,25 @@
 use crate::telemetry::metrics::{LabelNames, Metrics};
 use crate::telemetry::trace::{SpanSink, TraceDuty, TraceOptions};
 
-use super::decider::{self, DeciderHandle, Hands};
-use super::http::{BodyRoom, Gate, Side};
-use super::note::Notes;
+use super::decider::{self, DeciderHandle, IoHandles};
+use super::http::{BodyBudget, ClientKind, ProxyHandler};
+use super::note::NoteSink;
 use super::operator::{self, OperatorKey, OperatorOptions};
 use super::peer::{self, PeerDuty, PeerEvent, PeerHandle, PeerOptions, ReturnPath};
-use super::recorder::{self, Recorder, RecorderDuty};
+use super::recorder::{self, Recorder, RecorderThread};
 use super::store::{self, StoreHandle, StoreOptions};
 use super::target;
 use super::web::{WebOptions, WebServer};
 
-/// How long the last replies may take to be confirmed by their receivers.
-const REPLIES_WAIT: Duration = Duration::from_secs(2);
-/// When a sender should come back to a node whose ring was full, in milliseconds.
-const FULL_RETRY_MS: u32 = 200;
-/// How often the launching thread looks whether the node has left.
-const WATCH_EVERY: Duration = Duration::from_millis(50);
+/// How long to wait at exit for peers to confirm the last replies.
+const REPLY_DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
+/// The retry interval given to a peer when the event ring is full, in milliseconds.
+const RING_FULL_RETRY_MS: u32 = 200;
+/// How often the launching thread checks whether the decider has ended or replies are confirmed.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Ends the process at the first panic of any thread: a node that has lost a duty must not look
-/// alive, and what it may have run is then told as such by the others.
+/// Aborts the process when any thread panics. A node without one of its threads must not appear
+/// healthy, and after an abort its peers report its requests as possibly run.
 fn abort_on_panic() {
     let report = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
@@ -48,11 +48,11 @@
     }));
 }
 
-/// Runs a node until it has left. What it is told goes to the new file `record`, if one is named.
+/// Runs a node until it has left the site. Records its input events to the new file `record`, if given.
 ///
 /// # Errors
 ///
-/// An address that cannot be bound, a recording that cannot be written, or a thread that cannot be started.
+/// If an address cannot be bound, the recording cannot be written, or a thread cannot be started.
 pub fn run_node(settings: Settings, record: Option<&Path>) -> eyre::Result<()> {
     abort_on_panic();
     let settings = Arc::new(settings);
@@ -61,22 +61,23 @@
     let events = EventLog::new(logging.logger.clone(), clock);
     let metrics = Metrics::new()?;
     let (decider, ring) = DeciderHandle::ring(settings.node.ring_entries);
-    let watched = decider.clone();
+    let observed = decider.clone();
     let entries = settings.node.ring_entries;
-    let decider = decider.counting(metrics.watch_ring("decider", entries, move || watched.fill()));
+    let decider = decider
+        .with_refused_counter(metrics.watch_ring("decider", entries, move || observed.queue_len()));
     let id = NodeId(rand::rng().random());
     let peers = start_peers(&settings.node, id, clock, &decider)?;
-    let traces = start_traces(&settings, &metrics, &events)?;
+    let traces = start_tracing(&settings, &metrics, &events)?;
     let spans = traces.as_ref().map_or_else(SpanSink::disabled, TraceDuty::sink);
     let calls = metrics.calls(LabelNames::new(&settings.rules));
-    let notes = Notes::new(events.clone(), calls, spans);
+    let note_sink = NoteSink::new(events.clone(), calls, spans);
     let identity = identity(id, clock, &peers);
     let started_us = clock.now_us();
     let (recorder, recording) = start_recording(record, &settings, &identity, started_us)?;
     let build = crate::configuration::site_rules(&settings.site);
     let node = Node::new(started_us, identity, settings.clone(), build);
-    let hands = start_hands(&settings, clock, &decider, &peers)?;
-    let thread = decider::start(node, clock, ring, hands, notes, recorder)?;
+    let io = start_io_threads(&settings, clock, &decider, &peers)?;
+    let thread = decider::start(node, clock, ring, io, note_sink, recorder)?;
     let mut servers = start_listeners(&settings.node, &decider)?;
     servers.push(start_operator(&settings.node, &decider, metrics, events.clone())?);
     events.emit(&LogEvent::NodeStarted {
@@ -86,8 +87,8 @@
         failure_domain: settings.node.failure_domain.clone(),
         version: env!("CARGO_PKG_VERSION"),
     });
-    wait_until_left(&decider, &thread)?;
-    wait_for_replies(&peers);
+    wait_until_stopped(&decider, &thread)?;
+    drain_replies(&peers);
     for server in servers {
         server.stop()?;
     }
@@ -114,27 +115,27 @@
         .body_max_bytes(own.body_max_bytes)
         .build();
     let decider = decider.clone();
-    // The handle to answer with exists only once the transport has started.
-    let own: Arc<OnceLock<PeerHandle>> = Arc::default();
-    let answering = own.clone();
-    let sink = move |event| take_peer_event(id, &decider, answering.get(), event);
+    // The handle for replies exists only once the transport has started.
+    let handle: Arc<OnceLock<PeerHandle>> = Arc::default();
+    let reply_handle = handle.clone();
+    let sink = move |event| forward_peer_event(id, &decider, reply_handle.get(), event);
     let peers = peer::start(options, clock, sink).wrap_err("cannot listen for other nodes")?;
-    let _ = own.set(peers.handle());
+    let _ = handle.set(peers.handle());
     Ok(peers)
 }
 
-/// Answers an attempt that the decider's ring has no room for. It never ran and never will: its
-/// frame goes no further, and a later question about it finds nothing and fences it.
-fn refuse_for_room(id: NodeId, peers: Option<&PeerHandle>, path: ReturnPath, attempt: AttemptId) {
+/// Rejects an attempt because the decider's ring is full. The attempt has not run and never will: its
+/// frame is dropped, and a later query about it finds no record and fences it.
+fn reject_ring_full(id: NodeId, peers: Option<&PeerHandle>, path: ReturnPath, attempt: AttemptId) {
     let Some(peers) = peers else { return };
-    let verdict = Verdict::not_run(RefusalReason::NodeFull, FULL_RETRY_MS);
+    let verdict = Verdict::not_run(RefusalReason::NodeFull, RING_FULL_RETRY_MS);
     let answer = AnswerFrame { attempt, node: id, verdict, load: LoadReport::default() };
-    // Without an answer the sender's deadline ends the attempt.
+    // If the answer is lost, the sender's deadline ends the attempt.
     let _ = peers.reply(path, &Message::Answer(answer));
 }
 
-/// Hands what happened on a connection to the decider.
-fn take_peer_event(
+/// Forwards an event of a peer connection to the decider.
+fn forward_peer_event(
     id: NodeId,
     decider: &DeciderHandle,
     peers: Option<&PeerHandle>,
@@ -146,27 +147,27 @@
                 Message::Call(frame) => Some(frame.attempt),
                 _ => None,
             };
-            let taken = decider.offer(NodeEvent::PeerRequest { path, message });
-            if let (Err(_), Some(attempt)) = (taken, attempt) {
-                refuse_for_room(id, peers, path, attempt);
+            let queued = decider.try_submit_event(NodeEvent::PeerRequest { path, message });
+            if let (Err(_), Some(attempt)) = (queued, attempt) {
+                reject_ring_full(id, peers, path, attempt);
             }
         }
         PeerEvent::Reply { peer, message } => {
-            decider.tell(NodeEvent::PeerReply { peer, message });
+            decider.submit_event(NodeEvent::PeerReply { peer, message });
         }
         PeerEvent::Unsent { message, .. } => {
-            decider.tell(NodeEvent::SendFailed { message });
+            decider.submit_event(NodeEvent::SendFailed { message });
         }
         PeerEvent::LinkLost { peer } => {
-            decider.tell(NodeEvent::LinkLost { peer });
+            decider.submit_event(NodeEvent::LinkLost { peer });
         }
         PeerEvent::LinkUp { peer } => {
-            decider.tell(NodeEvent::LinkUp { peer });
+            decider.submit_event(NodeEvent::LinkUp { peer });
         }
     }
 }
 
-/// Who the node is in this life.
+/// The identity of the node for the lifetime of this process.
 fn identity(id: NodeId, clock: Clock, peers: &PeerDuty) -> NodeIdentity {
     NodeIdentity::builder()
         .id(id)
@@ -176,13 +177,13 @@
         .build()
 }
 
-/// Starts the recording of what the node is told, where one is wanted.
+/// Starts recording the node's input events if a file is given.
 fn start_recording(
     record: Option<&Path>,
     settings: &Settings,
     identity: &NodeIdentity,
     started_us: u64,
-) -> eyre::Result<(Recorder, Option<RecorderDuty>)> {
+) -> eyre::Result<(Recorder, Option<RecorderThread>)> {
     let Some(path) = record else { return Ok((Recorder::default(), None)) };
     let header = Header {
         format: replay::FORMAT,
@@ -195,20 +196,20 @@
     Ok((recorder, Some(duty)))
 }
 
-/// Starts the threads that carry the node's actions out.
-fn start_hands(
+/// Starts the I/O threads that execute the node's actions.
+fn start_io_threads(
     settings: &Settings,
     clock: Clock,
     decider: &DeciderHandle,
     peers: &PeerDuty,
-) -> eyre::Result<Hands> {
+) -> eyre::Result<IoHandles> {
     let (target, target_rings) = target::rings(settings.node.ring_entries);
     target::start(target_rings, clock, decider.clone(), settings.node.body_max_bytes)?;
     let store = start_store(settings, decider)?;
-    Ok(Hands { peers: peers.handle(), target, store })
+    Ok(IoHandles { peers: peers.handle(), target, store })
 }
 
-/// Starts the thread that talks to the platform.
+/// Starts the thread that talks to the platform's table service.
 fn start_store(settings: &Settings, decider: &DeciderHandle) -> eyre::Result<StoreHandle> {
     let options = StoreOptions::builder()
         .table_url(settings.platform.table_url.clone())
@@ -217,20 +218,20 @@
         .build();
     let decider = decider.clone();
     let (handle, _thread) = store::start(options, move |event| {
-        decider.tell(NodeEvent::Store(event));
+        decider.submit_event(NodeEvent::Store(event));
     })?;
     Ok(handle)
 }
 
-/// Starts the listeners for outside callers and for the target.
+/// Starts the listeners for external callers and for the target.
 fn start_listeners(own: &NodeSettings, decider: &DeciderHandle) -> eyre::Result<Vec<WebServer>> {
-    let bodies = BodyRoom::new(own.bodies_max_bytes);
-    let sides = [
-        (Side::Target, "target-http", own.target_listen),
-        (Side::Caller, "http", own.caller_listen),
+    let body_budget = BodyBudget::new(own.bodies_max_bytes);
+    let listeners = [
+        (ClientKind::Target, "target-http", own.target_listen),
+        (ClientKind::Caller, "http", own.caller_listen),
     ];
     let mut servers = Vec::new();
-    for (side, name, address) in sides {
+    for (client, name, address) in listeners {
         let options = WebOptions::builder()
             .name(name)
             .address(address)
@@ -238,23 +239,23 @@
             .body_max_bytes(own.body_max_bytes)
             .read_timeout_ms(own.request_read_ms)
             .build();
-        let gate = Gate {
-            side,
+        let handler = ProxyHandler {
+            client,
             decider: decider.clone(),
             body_max_bytes: own.body_max_bytes,
             request_read_ms: own.request_read_ms,
-            bodies: bodies.clone(),
+            body_budget: body_budget.clone(),
         };
-        // The answers are the targets' own, so no header is added to them.
-        let plain = Shield::new();
-        let add = |rocket: Rocket<Build>| rocket.attach(plain).mount("/", gate.routes());
+        // Answers are the targets' own, so Rocket must not add its security headers.
+        let no_shield = Shield::new();
+        let add = |rocket: Rocket<Build>| rocket.attach(no_shield).mount("/", handler.routes());
         servers.push(WebServer::start(&options, add)?);
     }
     Ok(servers)
 }
 
-/// Starts the thread that sends spans, where the settings name a collector.
-fn start_traces(
+/// Starts the thread that exports spans if the settings name a collector.
+fn start_tracing(
     settings: &Settings,
     metrics: &Metrics,
     events: &EventLog,
@@ -269,15 +270,15 @@
     Ok(Some(TraceDuty::start(&options, metrics, events.clone())?))
 }
 
-/// Gives the last replies time to reach their receivers.
-fn wait_for_replies(peers: &PeerDuty) {
-    let until = Instant::now() + REPLIES_WAIT;
+/// Waits until peers have confirmed the last replies, up to a time limit.
+fn drain_replies(peers: &PeerDuty) {
+    let until = Instant::now() + REPLY_DRAIN_TIMEOUT;
     while peers.unconfirmed_replies() > 0 && Instant::now() < until {
-        std::thread::sleep(WATCH_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Starts the operators' listener.
+/// Starts the listener for operators.
 fn start_operator(
     own: &NodeSettings,
     decider: &DeciderHandle,
@@ -289,15 +290,15 @@
         .address(own.operator_listen)
         .maybe_key(OperatorKey::from_env(&own.operator_key_env))
         .key_variable(own.operator_key_env.clone())
-        .requests(Arc::new(move |request| decider.ask(request)))
+        .requests(Arc::new(move |request| decider.try_submit_operator(request)))
         .metrics(metrics)
         .events(events)
         .build();
     Ok(operator::start(options)?)
 }
 
-/// Waits until the decider has ended; a signal makes the node leave first.
-fn wait_until_left(decider: &DeciderHandle, thread: &JoinHandle<()>) -> eyre::Result<()> {
+/// Waits until the decider has ended. SIGTERM and SIGINT make the node leave.
+fn wait_until_stopped(decider: &DeciderHandle, thread: &JoinHandle<()>) -> eyre::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate())?;
@@ -305,12 +306,12 @@
         while !thread.is_finished() {
             tokio::select! {
                 _ = terminate.recv() => {
-                    decider.tell(NodeEvent::Leave { asked_by: LeaveRequester::Signal });
+                    decider.submit_event(NodeEvent::Leave { asked_by: LeaveRequester::Signal });
                 }
                 _ = interrupt.recv() => {
-                    decider.tell(NodeEvent::Leave { asked_by: LeaveRequester::Signal });
+                    decider.submit_event(NodeEvent::Leave { asked_by: LeaveRequester::Signal });
                 }
-                () = tokio::time::sleep(WATCH_EVERY) => {}
+                () = tokio::time::sleep(POLL_INTERVAL) => {}
             }
         }
         Ok(())
--- a/src/duty/note.rs
+++ b/src/duty/note.rs
@@ -1,4 +1,4 @@
-//! Where the node's notes go: the log, the metrics and the collector of traces.
+//! Routes the node's notes to the log, the metrics and the trace exporter.
 
 use crate::call::{ArmId, LoadReport};
 use crate::event::EventLog;
@@ -6,25 +6,25 @@
 use crate::telemetry::metrics::{CallMetrics, LabelNames};
 use crate::telemetry::trace::SpanSink;
 
-/// Takes the notes of one node.
+/// Receives the notes of one node.
 #[derive(Debug)]
-pub struct Notes {
-    /// The log.
+pub struct NoteSink {
+    /// The event log.
     events: EventLog,
-    /// The figures.
+    /// The call metrics.
     calls: CallMetrics,
-    /// The spans.
+    /// The queue of spans to export.
     spans: SpanSink,
 }
 
-impl Notes {
-    /// Notes go to this log and these figures.
+impl NoteSink {
+    /// Creates a sink that writes to the given log, metrics and spans.
     pub fn new(events: EventLog, calls: CallMetrics, spans: SpanSink) -> Self {
         Self { events, calls, spans }
     }
 
-    /// Takes one note.
-    pub fn take(&mut self, note: Note) {
+    /// Records one note.
+    pub fn record(&mut self, note: Note) {
         match note {
             Note::Event(event) => self.events.emit(&event),
             Note::CallEnded { from, class, arm, outcome, took_us } => {
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Shows the load of the arms.
-    pub fn show_loads(&mut self, loads: &[(ArmId, LoadReport)]) {
+    /// Updates the load metrics of the arms.
+    pub fn record_loads(&mut self, loads: &[(ArmId, LoadReport)]) {
         for (arm, load) in loads {
             self.calls.arm_load(*arm, &(*load).into());
         }
--- a/src/duty/desk.rs
+++ b/src/duty/operator_responder.rs
@@ -1,4 +1,4 @@
-//! What operators ask the decider, in the node's own terms.
+//! Answers operators' requests from the node's state.
 
 use std::collections::HashMap;
 
@@ -12,18 +12,18 @@
 };
 use crate::node::{LeaveRequester, Node, NodeEvent};
 
-/// Answers operators, and keeps who waits for the outcome of a submission.
+/// Answers operators' requests, and holds the reply channels of pending submissions.
 #[derive(Debug, Default)]
-pub struct Desk {
-    /// Who waits, by the random number of the submission.
-    waiting: HashMap<u64, oneshot::Sender<SubmitReply>>,
+pub struct OperatorResponder {
+    /// Reply channels by the random id of the submission.
+    pending_submissions: HashMap<u64, oneshot::Sender<SubmitReply>>,
 }
 
-impl Desk {
-    /// Answers a request, or gives the event that will lead to its answer.
+impl OperatorResponder {
+    /// Answers a request, and returns the event that it causes, if any.
     ///
-    /// Whoever asked may have gone; then nobody misses the answer.
-    pub fn take(
+    /// Answers to operators that have disconnected are dropped.
+    pub fn handle(
         &mut self,
         now_us: u64,
         node: &Node,
@@ -46,7 +46,7 @@
             }
             OperatorRequest::Submit { submission, reply } => {
                 let submit = make_submit(node.unix_ms(now_us), submission);
-                self.waiting.insert(submit.submission, reply);
+                self.pending_submissions.insert(submit.submission, reply);
                 Some(NodeEvent::Submit(submit))
             }
             OperatorRequest::Leave { reply } => {
@@ -56,15 +56,15 @@
         }
     }
 
-    /// Tells whoever waits what became of a submission.
-    pub fn submitted(&mut self, submission: u64, outcome: SubmitOutcome) {
-        let Some(reply) = self.waiting.remove(&submission) else { return };
-        // The operator may have gone; the outcome stands in the table all the same.
-        let _ = reply.send(reply_of(outcome));
+    /// Sends the outcome of a submission to the operator that waits for it.
+    pub fn complete_submission(&mut self, submission: u64, outcome: SubmitOutcome) {
+        let Some(reply) = self.pending_submissions.remove(&submission) else { return };
+        // The operator may have disconnected; the outcome is stored in the table regardless.
+        let _ = reply.send(submit_reply(outcome));
     }
 }
 
-/// A submission as the configuration takes it.
+/// Converts an operator's submission to the form of the configuration module.
 fn make_submit(at_unix_ms: u64, submission: Submission) -> Submit {
     Submit {
         submission: rand::rng().random(),
@@ -75,8 +75,8 @@
     }
 }
 
-/// What became of a submission, in the operators' words.
-fn reply_of(outcome: SubmitOutcome) -> SubmitReply {
+/// Converts the outcome of a submission to the operator API's reply.
+fn submit_reply(outcome: SubmitOutcome) -> SubmitReply {
     match outcome {
         SubmitOutcome::Accepted { version } => SubmitReply::Accepted { version },
         SubmitOutcome::Conflict { lost_to } => {
@@ -86,18 +86,18 @@
             SubmitReply::Invalid { problems: cause.lines().map(str::to_owned).collect() }
         }
         SubmitOutcome::StoreAway => {
-            SubmitReply::NotAccepted { cause: "the table service is away".to_owned() }
-        }
-        SubmitOutcome::Busy => {
-            SubmitReply::NotAccepted { cause: "another submission is under way here".to_owned() }
-        }
-        SubmitOutcome::Unknown => {
-            SubmitReply::Unknown { cause: "the table service does not tell".to_owned() }
+            SubmitReply::NotAccepted { cause: "the table service is unavailable".to_owned() }
         }
+        SubmitOutcome::Busy => SubmitReply::NotAccepted {
+            cause: "another submission is in progress on this node".to_owned(),
+        },
+        SubmitOutcome::Unknown => SubmitReply::Unknown {
+            cause: "the table service did not report whether the write was applied".to_owned(),
+        },
     }
 }
 
-/// The configuration in force, if `version` asks for it.
+/// The configuration in force; `None` if `version` names another one.
 fn config_view(node: &Node, version: Option<u64>) -> Option<ConfigView> {
     let in_force = node.config_version();
     if version.is_some_and(|version| version != in_force) {
@@ -115,7 +115,7 @@
     }
 }
 
-/// An accepted configuration, for operators.
+/// Converts an accepted configuration to the operator API's view.
 fn accepted_view(accepted: &Accepted) -> ConfigView {
     ConfigView {
         version: accepted.version(),
@@ -126,7 +126,7 @@
     }
 }
 
-/// One acceptance, for operators.
+/// Converts a history entry to the operator API's view.
 fn entry_view(entry: &HistoryEntry) -> ConfigEntry {
     ConfigEntry { version: entry.version, by: entry.by.clone(), at_unix_ms: entry.at_unix_ms }
 }
--- a/src/duty/problem.rs
+++ b/src/duty/problem.rs
@@ -1,4 +1,4 @@
-//! Error bodies after RFC 9457 (problem details for HTTP APIs).
+//! Error bodies according to RFC 9457 (problem details for HTTP APIs).
 
 use rocket::http::{ContentType, Header, Status};
 use rocket::request::Request;
@@ -10,40 +10,40 @@
 /// Milliseconds in a second.
 const MS_PER_S: u64 = 1_000;
 
-/// An error as callers and operators see it; a responder.
+/// An error response for callers and operators; a Rocket responder.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Problem {
-    /// What kind of problem it is, as a URI reference; `about:blank` where the status says it all.
+    /// The problem type, as a URI reference; `about:blank` if the status is sufficient.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The kind in words; the same for all problems of the kind.
+    /// A summary of the problem type, the same for each occurrence.
     pub title: String,
     /// The HTTP status.
     pub status: u16,
-    /// What happened this time.
+    /// What happened in this occurrence.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub detail: Option<String>,
-    /// When asking again makes sense, in milliseconds; also sent as `Retry-After` in whole seconds.
+    /// When to retry, in milliseconds; also sent as `Retry-After`, rounded up to seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// What only some problems have; boxed to keep results small.
+    /// Optional parts, boxed to keep `Result` values small.
     #[serde(flatten)]
     pub extra: Box<ProblemExtra>,
 }
 
-/// What only some problems have.
+/// The parts that only some problems have.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ProblemExtra {
-    /// Further members of the body.
+    /// Extension members of the body.
     #[serde(flatten)]
     pub members: Map<String, Value>,
-    /// Further headers of the answer.
+    /// Additional headers of the response.
     #[serde(skip)]
     pub headers: Vec<(String, String)>,
 }
 
 impl Problem {
-    /// A problem of no kind of its own.
+    /// Creates a problem of type `about:blank`.
     pub fn new(status: u16, title: impl Into<String>) -> Self {
         Self {
             kind: "about:blank".to_owned(),
@@ -55,31 +55,31 @@
         }
     }
 
-    /// Names the kind of problem, as a URI reference.
+    /// Sets the problem type, as a URI reference.
     pub fn kind(mut self, kind: impl Into<String>) -> Self {
         self.kind = kind.into();
         self
     }
 
-    /// Says what happened this time.
+    /// Sets the description of this occurrence.
     pub fn detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = Some(detail.into());
         self
     }
 
-    /// Says when asking again makes sense.
+    /// Sets the retry interval, in milliseconds.
     pub fn retry_after_ms(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
 
-    /// Adds a member to the body.
+    /// Adds an extension member to the body.
     pub fn member(mut self, name: impl Into<String>, value: impl Into<Value>) -> Self {
         self.extra.members.insert(name.into(), value.into());
         self
     }
 
-    /// Adds a header to the answer.
+    /// Adds a header to the response.
     pub fn header(mut self, name: impl Into<String>, value: impl Into<String>) -> Self {
         self.extra.headers.push((name.into(), value.into()));
         self
@@ -103,7 +103,7 @@
     }
 }
 
-/// Turns rocket's own errors (no such path, wrong method, a panic in a handler) into problems.
+/// Catchers that render Rocket's own errors (unknown path, wrong method, handler panic) as problems.
 pub fn problem_catchers() -> Vec<Catcher> {
     vec![Catcher::new(None, catch_any)]
 }
@@ -114,6 +114,6 @@
     if status == Status::Unauthorized {
         problem = problem.header("www-authenticate", "Bearer");
     }
-    let answer = problem.respond_to(request);
-    Box::pin(async move { answer })
+    let response = problem.respond_to(request);
+    Box::pin(async move { response })
 }
--- a/src/duty/recorder.rs
+++ b/src/duty/recorder.rs
@@ -1,7 +1,7 @@
-//! The thread that writes down what the node is told.
+//! Records the node's input events to a file, on a separate thread.
 //!
-//! Events come through a bounded ring, so that the decider never waits for the disk. Where the ring
-//! is full, or holds too many bytes of bodies, the recording ends with a line that says so.
+//! Events are queued in a bounded ring, so that the decider never waits for the disk. If the ring is
+//! full or holds too many body bytes, the recording stops and ends with a line that marks it incomplete.
 
 use std::fs::{File, OpenOptions};
 use std::io::{BufWriter, Write};
@@ -19,55 +19,55 @@
 use crate::node::{NodeEvent, TargetOutcome};
 use crate::replay::{End, Header, Line};
 
-/// How many events may wait to be written.
+/// The maximum number of events waiting to be written.
 const RING_ENTRIES: usize = 4_096;
-/// How many bytes of bodies may wait to be written.
+/// The maximum number of body bytes waiting to be written.
 pub const BODIES_MAX_BYTES: usize = 64 * 1024 * 1024;
-/// The file holds what callers sent, so nobody else may read it.
+/// Owner access only, because the file contains callers' requests.
 const FILE_MODE: u32 = 0o600;
 
-/// Hands events to the thread that writes them.
+/// Queues events for the writer thread. The default value records nothing.
 #[derive(Debug, Default)]
 pub struct Recorder {
-    /// The ring, while the recording goes on.
+    /// The ring; `None` once the recording has stopped.
     ring: Option<Sender<Line>>,
-    /// The bytes of bodies that wait.
-    waiting_bytes: Arc<AtomicUsize>,
+    /// The body bytes waiting to be written.
+    queued_bytes: Arc<AtomicUsize>,
 }
 
-/// The thread that writes.
+/// The writer thread.
 #[derive(Debug)]
-pub struct RecorderDuty(JoinHandle<eyre::Result<()>>);
+pub struct RecorderThread(JoinHandle<eyre::Result<()>>);
 
 impl Recorder {
-    /// Hands an event over, or ends the recording where there is no room.
+    /// Queues an event, or stops the recording if the ring has no room for it.
     pub fn take(&mut self, at_us: u64, event: &NodeEvent) {
         let Some(ring) = &self.ring else { return };
         let bytes = body_bytes(event);
-        // The writer subtracts only what was added here before.
-        let waiting = self.waiting_bytes.fetch_add(bytes, Ordering::Relaxed) + bytes;
+        // The writer subtracts the bytes of a line only after they were added here.
+        let queued = self.queued_bytes.fetch_add(bytes, Ordering::Relaxed) + bytes;
         let line = Line { at_us: Some(at_us), event: Some(event.clone()), end: None };
-        if waiting > BODIES_MAX_BYTES || ring.try_send(line).is_err() {
+        if queued > BODIES_MAX_BYTES || ring.try_send(line).is_err() {
             self.ring = None;
         }
     }
 
-    /// Says that the node has ended and that nothing is missing.
+    /// Marks the recording as complete, after the node has ended.
     pub fn finish(&mut self) {
         let Some(ring) = self.ring.take() else { return };
-        // The writer tells about its own failure.
+        // If the writer has failed, `RecorderThread::stop` returns its error.
         let _ = ring.send(Line { end: Some(End::Complete), ..Line::default() });
     }
 }
 
-impl RecorderDuty {
-    /// Waits until everything is written.
+impl RecorderThread {
+    /// Waits until all queued events are written.
     ///
     /// # Errors
     ///
-    /// The file could not be written.
+    /// If the file could not be written or the thread panicked.
     pub fn stop(self) -> eyre::Result<()> {
-        self.0.join().map_err(|_| eyre!("the thread that records has panicked"))?
+        self.0.join().map_err(|_| eyre!("recorder thread panicked"))?
     }
 }
 
@@ -75,34 +75,35 @@
 ///
 /// # Errors
 ///
-/// The file exists or cannot be written, or the thread cannot be started.
-pub fn start(path: &Path, header: &Header) -> eyre::Result<(Recorder, RecorderDuty)> {
+/// If the file exists or cannot be written, or the thread cannot be started.
+pub fn start(path: &Path, header: &Header) -> eyre::Result<(Recorder, RecorderThread)> {
     let file = OpenOptions::new().write(true).create_new(true).mode(FILE_MODE).open(path);
-    let file = file.wrap_err_with(|| format!("{} cannot be made", path.display()))?;
+    let file = file.wrap_err_with(|| format!("cannot create recording {}", path.display()))?;
     let mut file = BufWriter::new(file);
     write_line(&mut file, header)?;
-    let (ring, taken) = bounded(RING_ENTRIES);
-    let waiting_bytes = Arc::default();
-    let written = Arc::clone(&waiting_bytes);
-    let shown = path.display().to_string();
+    let (ring, receiver) = bounded(RING_ENTRIES);
+    let queued_bytes = Arc::default();
+    let writer_bytes = Arc::clone(&queued_bytes);
+    let shown_path = path.display().to_string();
     let thread = std::thread::Builder::new().name("recorder".to_owned()).spawn(move || {
-        write_all(file, &taken, &written).wrap_err_with(|| format!("{shown} cannot be written"))
+        write_all(file, &receiver, &writer_bytes)
+            .wrap_err_with(|| format!("cannot write recording {shown_path}"))
     })?;
-    Ok((Recorder { ring: Some(ring), waiting_bytes }, RecorderDuty(thread)))
+    Ok((Recorder { ring: Some(ring), queued_bytes }, RecorderThread(thread)))
 }
 
-/// Writes until the ring is closed.
+/// Writes queued lines until the ring is closed, then the final line if the recording is incomplete.
 fn write_all(
     mut file: BufWriter<File>,
     ring: &Receiver<Line>,
-    waiting_bytes: &AtomicUsize,
+    queued_bytes: &AtomicUsize,
 ) -> eyre::Result<()> {
     let mut is_complete = false;
     while let Ok(line) = ring.recv() {
         is_complete = line.end.is_some();
         write_line(&mut file, &line)?;
         let bytes = line.event.as_ref().map_or(0, body_bytes);
-        waiting_bytes.fetch_sub(bytes, Ordering::Relaxed);
+        queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
         if ring.is_empty() {
             file.flush()?;
         }
@@ -113,13 +114,13 @@
     Ok(file.flush()?)
 }
 
-/// Writes one line.
+/// Writes one JSON line.
 fn write_line(file: &mut BufWriter<File>, line: &impl Serialize) -> eyre::Result<()> {
     serde_json::to_writer(&mut *file, line)?;
     Ok(file.write_all(b"\n")?)
 }
 
-/// The bytes of an event's body, which the event keeps in memory while it waits.
+/// The length of an event's body, which stays in memory while the event is queued.
 fn body_bytes(event: &NodeEvent) -> usize {
     match event {
         NodeEvent::CallerCall(incoming) | NodeEvent::TargetCall { incoming, .. } => {
--- a/src/duty/target.rs
+++ b/src/duty/target.rs
@@ -1,4 +1,4 @@
-//! The thread that talks to the target beside this node, over HTTP.
+//! The thread that sends requests to the node's own target over HTTP.
 
 use std::collections::HashMap;
 use std::thread::JoinHandle;
@@ -14,17 +14,17 @@
 use crate::duty::decider::DeciderHandle;
 use crate::node::{NodeEvent, TargetCall, TargetOutcome, header};
 
-/// How long the target may take to acknowledge a cancellation.
-const CANCEL_WAIT: Duration = Duration::from_millis(500);
-/// How long making a connection to the target may take.
-const CONNECT_WAIT: Duration = Duration::from_millis(500);
-/// How long an unused connection is kept; targets close theirs later than that.
-const IDLE_KEPT: Duration = Duration::from_secs(4);
+/// The time limit for the target to acknowledge a cancellation.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
+/// The time limit for connecting to the target.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long an idle connection is kept; targets keep theirs longer.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// The path below a target's URL that takes cancellations.
 const CANCEL_PATH: &str = "/_aspenspring/cancel";
-/// The value by which a target says that it did not run a request.
-const NOT_RUN: &str = "not-run";
-/// Headers that concern one connection only and are never passed on.
+/// The verdict header value with which a target states that it did not run a request.
+const NOT_RUN_VERDICT: &str = "not-run";
+/// Hop-by-hop headers, which are never forwarded.
 pub const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -37,58 +37,58 @@
     "upgrade",
 ];
 
-/// The ring to the thread was full, or the thread is gone.
+/// The ring to the target thread was full, or the thread has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the ring to the target's thread is full")]
+#[error("the ring to the target thread is full")]
 pub struct TargetRingFull;
 
-/// An order to the thread.
+/// A command to the target thread.
 #[derive(Debug)]
-enum Order {
-    /// Give a request to the target.
+enum Command {
+    /// Send a request to the target.
     Run(Box<TargetCall>),
-    /// Give a request up.
+    /// Cancel a request.
     Abort(AttemptId),
 }
 
-/// Puts orders into the thread's ring.
+/// Queues commands for the target thread.
 #[derive(Clone, Debug)]
 pub struct TargetHandle {
-    /// Requests.
-    calls: mpsc::Sender<Order>,
-    /// Cancellations, which need room of their own when requests fill theirs.
-    aborts: mpsc::Sender<Order>,
+    /// Queues requests.
+    calls: mpsc::Sender<Command>,
+    /// Queues cancellations, separately so that they are accepted while the request queue is full.
+    aborts: mpsc::Sender<Command>,
 }
 
 impl TargetHandle {
-    /// Hands a request in.
+    /// Queues a request.
     pub fn run(&self, call: TargetCall) -> Result<(), TargetRingFull> {
-        self.calls.try_send(Order::Run(Box::new(call))).map_err(|_| TargetRingFull)
+        self.calls.try_send(Command::Run(Box::new(call))).map_err(|_| TargetRingFull)
     }
 
-    /// Hands a cancellation in. One for which there is no room is lost: the target then stops by
-    /// the deadline it was given.
+    /// Queues a cancellation. It is dropped when its ring is full; the target then stops at the request's
+    /// deadline.
     pub fn abort(&self, attempt: AttemptId) {
-        let _ = self.aborts.try_send(Order::Abort(attempt));
+        let _ = self.aborts.try_send(Command::Abort(attempt));
     }
 }
 
-/// The rings between the decider and the thread.
+/// The receiving ends of the rings to the target thread.
 pub struct TargetRings {
-    /// Requests.
-    calls: mpsc::Receiver<Order>,
-    /// Cancellations.
-    aborts: mpsc::Receiver<Order>,
+    /// Queued requests.
+    calls: mpsc::Receiver<Command>,
+    /// Queued cancellations.
+    aborts: mpsc::Receiver<Command>,
 }
 
-/// Rings of `entries` each.
+/// Creates the rings, of `entries` each.
 pub fn rings(entries: usize) -> (TargetHandle, TargetRings) {
-    let (calls, calls_taken) = mpsc::channel(entries);
-    let (aborts, aborts_taken) = mpsc::channel(entries);
-    (TargetHandle { calls, aborts }, TargetRings { calls: calls_taken, aborts: aborts_taken })
+    let (calls, calls_receiver) = mpsc::channel(entries);
+    let (aborts, aborts_receiver) = mpsc::channel(entries);
+    (TargetHandle { calls, aborts }, TargetRings { calls: calls_receiver, aborts: aborts_receiver })
 }
 
-/// Starts the thread; it ends when the handle is gone.
+/// Starts the target thread; it ends when all handles are dropped.
 pub fn start(
     rings: TargetRings,
     clock: Clock,
@@ -98,13 +98,14 @@
     let client = client()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let thread = std::thread::Builder::new().name("target".to_owned()).spawn(move || {
-        let duty = TargetDuty { client, clock, decider, body_max_bytes };
-        runtime.block_on(duty.run(rings));
+        let worker = TargetWorker { client, clock, decider, body_max_bytes };
+        runtime.block_on(worker.run(rings));
     })?;
     Ok(thread)
 }
 
-/// A client that repeats and follows nothing by itself and reads nothing from the environment.
+/// Creates a client that neither retries nor follows redirects, and ignores proxy settings from the
+/// environment.
 fn client() -> reqwest::Result<Client> {
     Client::builder()
         .no_proxy()
@@ -112,101 +113,101 @@
         .retry(reqwest::retry::never())
         .referer(false)
         .http1_only()
-        .connect_timeout(CONNECT_WAIT)
-        .pool_idle_timeout(IDLE_KEPT)
+        .connect_timeout(CONNECT_TIMEOUT)
+        .pool_idle_timeout(POOL_IDLE_TIMEOUT)
         .tcp_nodelay(true)
         .build()
 }
 
-/// What the thread works with.
+/// The shared state of the target thread's tasks.
 #[derive(Clone)]
-struct TargetDuty {
+struct TargetWorker {
     /// The HTTP client.
     client: Client,
-    /// The time.
+    /// Converts deadlines to instants.
     clock: Clock,
-    /// Where outcomes go.
+    /// Receives outcomes.
     decider: DeciderHandle,
-    /// The longest answer, in bytes.
+    /// The maximum length of an answer's body, in bytes.
     body_max_bytes: usize,
 }
 
-/// A request that the target has.
-struct Running {
-    /// Ends the exchange.
+/// A request that has been sent to the target.
+struct InFlight {
+    /// Aborts the task of the exchange.
     handle: AbortHandle,
     /// The target's base URL.
     url: String,
-    /// Names the request to the target.
+    /// Identifies the request in a cancellation.
     token: String,
 }
 
-impl TargetDuty {
-    /// Carries out orders until the handle is gone.
+impl TargetWorker {
+    /// Executes commands until all handles are dropped.
     async fn run(self, mut rings: TargetRings) {
-        let mut running: HashMap<AttemptId, Running> = HashMap::new();
+        let mut in_flight: HashMap<AttemptId, InFlight> = HashMap::new();
         let mut tasks: JoinSet<(AttemptId, Option<TargetOutcome>)> = JoinSet::new();
         loop {
             tokio::select! {
                 biased;
                 Some(ended) = tasks.join_next(), if !tasks.is_empty() => {
-                    self.ended(ended, &mut running);
+                    self.report_outcome(ended, &mut in_flight);
                 }
-                Some(order) = rings.aborts.recv() => {
-                    self.order(order, &mut running, &mut tasks);
+                Some(command) = rings.aborts.recv() => {
+                    self.start_command(command, &mut in_flight, &mut tasks);
                 }
-                order = rings.calls.recv() => {
-                    let Some(order) = order else { return };
-                    self.order(order, &mut running, &mut tasks);
+                command = rings.calls.recv() => {
+                    let Some(command) = command else { return };
+                    self.start_command(command, &mut in_flight, &mut tasks);
                 }
             }
         }
     }
 
-    /// Begins to carry out one order.
-    fn order(
+    /// Starts to execute one command.
+    fn start_command(
         &self,
-        order: Order,
-        running: &mut HashMap<AttemptId, Running>,
+        command: Command,
+        in_flight: &mut HashMap<AttemptId, InFlight>,
         tasks: &mut JoinSet<(AttemptId, Option<TargetOutcome>)>,
     ) {
-        match order {
-            Order::Run(call) => {
+        match command {
+            Command::Run(call) => {
                 let (attempt, url, token) = (call.attempt, call.url.clone(), call.token.clone());
-                let duty = self.clone();
+                let worker = self.clone();
                 let handle =
-                    tasks.spawn(async move { (attempt, Some(duty.exchange(*call).await)) });
-                running.insert(attempt, Running { handle, url, token });
+                    tasks.spawn(async move { (attempt, Some(worker.exchange(*call).await)) });
+                in_flight.insert(attempt, InFlight { handle, url, token });
             }
-            Order::Abort(attempt) => {
-                let Some(ended) = running.remove(&attempt) else { return };
+            Command::Abort(attempt) => {
+                let Some(ended) = in_flight.remove(&attempt) else { return };
                 ended.handle.abort();
-                let duty = self.clone();
+                let worker = self.clone();
                 tasks.spawn(async move {
-                    duty.cancel(&ended.url, &ended.token).await;
+                    worker.cancel(&ended.url, &ended.token).await;
                     (attempt, Some(TargetOutcome::Aborted))
                 });
             }
         }
     }
 
-    /// Reports the end of an exchange; one that was cancelled is reported by its cancellation.
-    fn ended(
+    /// Reports the outcome of an exchange. A cancelled exchange is reported when its cancellation ends.
+    fn report_outcome(
         &self,
         ended: Result<(AttemptId, Option<TargetOutcome>), tokio::task::JoinError>,
-        running: &mut HashMap<AttemptId, Running>,
+        in_flight: &mut HashMap<AttemptId, InFlight>,
     ) {
         let Ok((attempt, outcome)) = ended else { return };
-        running.remove(&attempt);
+        in_flight.remove(&attempt);
         if let Some(outcome) = outcome {
-            self.decider.tell(NodeEvent::TargetEnded { attempt, outcome });
+            self.decider.submit_event(NodeEvent::TargetEnded { attempt, outcome });
         }
     }
 
-    /// One exchange with the target, ended at its deadline.
+    /// Sends one request and reads its answer, until the request's deadline.
     async fn exchange(&self, call: TargetCall) -> TargetOutcome {
         let deadline = self.clock.instant(call.deadline_us);
-        let Some(request) = self.request(&call) else { return TargetOutcome::Unreachable };
+        let Some(request) = self.build_request(&call) else { return TargetOutcome::Unreachable };
         let sent = tokio::time::timeout_at(deadline, request.send()).await;
         let response = match sent {
             Ok(Ok(response)) => response,
@@ -215,15 +216,15 @@
             }
             Ok(Err(_)) | Err(_) => return TargetOutcome::Broke,
         };
-        if declined(&response) {
+        if is_declined(&response) {
             return TargetOutcome::Declined;
         }
-        let read = self.answer(&call.request.method, response);
+        let read = self.read_answer(&call.request.method, response);
         tokio::time::timeout_at(deadline, read).await.unwrap_or(TargetOutcome::Broke)
     }
 
-    /// The request as the target gets it.
-    fn request(&self, call: &TargetCall) -> Option<reqwest::RequestBuilder> {
+    /// Builds the request to the target; `None` for an invalid method.
+    fn build_request(&self, call: &TargetCall) -> Option<reqwest::RequestBuilder> {
         let method = Method::from_bytes(call.request.method.as_bytes()).ok()?;
         let url = format!("{}{}", call.url.trim_end_matches('/'), call.request.path);
         let mut request = self.client.request(method, url);
@@ -236,14 +237,14 @@
         Some(request.body(call.request.body.clone()))
     }
 
-    /// Reads a whole answer.
-    async fn answer(&self, method: &str, mut response: Response) -> TargetOutcome {
+    /// Reads a complete answer.
+    async fn read_answer(&self, method: &str, mut response: Response) -> TargetOutcome {
         if !is_delimited(method, &response) {
-            // The end of such a body cannot be told from a connection that was cut.
+            // The end of such a body cannot be distinguished from a lost connection.
             return TargetOutcome::Broke;
         }
         let status = response.status().as_u16();
-        let headers = passed_headers(&response);
+        let headers = forwarded_headers(&response);
         let mut body = BytesMut::new();
         loop {
             match response.chunk().await {
@@ -259,21 +260,21 @@
         TargetOutcome::Answered(HttpAnswer { status, headers, body })
     }
 
-    /// Tells the target that nobody waits for a request any more.
+    /// Asks the target to stop a request whose caller no longer waits.
     async fn cancel(&self, url: &str, token: &str) {
         let url = format!("{}{CANCEL_PATH}", url.trim_end_matches('/'));
-        let request = self.client.post(url).header(header::CALL, token).timeout(CANCEL_WAIT);
-        // The target may not offer cancellation; then it stops at its deadline.
+        let request = self.client.post(url).header(header::CALL, token).timeout(CANCEL_TIMEOUT);
+        // A target that does not support cancellation stops at the request's deadline.
         let _ = request.send().await;
     }
 }
 
-/// Whether the target says that it did not run the request.
-fn declined(response: &Response) -> bool {
-    response.headers().get(header::VERDICT).is_some_and(|value| value == NOT_RUN)
+/// Whether the target states that it did not run the request.
+fn is_declined(response: &Response) -> bool {
+    response.headers().get(header::VERDICT).is_some_and(|value| value == NOT_RUN_VERDICT)
 }
 
-/// Whether the answer says where its body ends.
+/// Whether the answer delimits its body.
 fn is_delimited(method: &str, response: &Response) -> bool {
     let headers = response.headers();
     let bodiless = method == "HEAD"
@@ -282,17 +283,17 @@
     bodiless || headers.contains_key("content-length") || headers.contains_key("transfer-encoding")
 }
 
-/// The headers of an answer that are passed on.
-fn passed_headers(response: &Response) -> Vec<(String, String)> {
-    let mut passed = Vec::new();
+/// The headers of an answer that are forwarded.
+fn forwarded_headers(response: &Response) -> Vec<(String, String)> {
+    let mut forwarded = Vec::new();
     for (name, value) in response.headers() {
         let name = name.as_str();
-        let internal = name.starts_with(header::INTERNAL_PREFIX) || name == "content-length";
-        if internal || HOP_BY_HOP.contains(&name) {
+        let is_internal = name.starts_with(header::INTERNAL_PREFIX) || name == "content-length";
+        if is_internal || HOP_BY_HOP.contains(&name) {
             continue;
         }
         let Ok(value) = value.to_str() else { continue };
-        passed.push((name.to_owned(), value.to_owned()));
+        forwarded.push((name.to_owned(), value.to_owned()));
     }
-    passed
+    forwarded
 }
--- a/src/duty/web.rs
+++ b/src/duty/web.rs
@@ -1,7 +1,7 @@
-//! What the HTTP listeners share: explicit settings, a thread of their own, and error bodies.
+//! The common HTTP server of all listeners: settings, thread, shutdown and body reading.
 //!
-//! Rocket reads nothing from the environment or from files here, installs no signal handlers and
-//! prints nothing. Each listener runs in its own thread with its own runtime.
+//! Rocket is configured to read nothing from the environment or from files, install no signal handlers
+//! and print nothing. Each listener runs in its own thread with its own runtime.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -18,31 +18,30 @@
 use rocket::{Build, Config, Rocket, Shutdown};
 use thiserror::Error;
 
-use super::slow::SlowSenders;
+use super::connection_watch::ConnectionWatch;
 
+pub use super::connection_watch::CallerGone;
 pub use super::problem::{Problem, problem_catchers};
-pub use super::slow::CallerGone;
 
 /// How long a listener may take to bind its address.
 const BIND_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How one HTTP listener is set up.
+/// Options of an HTTP listener.
 #[derive(Builder, Clone, Debug)]
 pub struct WebOptions {
     /// The name of the listener's thread, at most 15 bytes.
     #[builder(into)]
     pub name: String,
-    /// The address to listen on; port 0 takes a free one.
+    /// The address to listen on; port 0 selects a free port.
     pub address: SocketAddr,
     /// Worker threads of the listener's runtime.
     #[builder(default = 1)]
     pub workers: usize,
-    /// The longest body of a request, in bytes.
+    /// The maximum length of a request body, in bytes.
     pub body_max_bytes: usize,
-    /// How long a sender may take for the first request of a connection, and for any body, in
-    /// milliseconds.
+    /// The time limit for receiving the first request of a connection and for each body, in milliseconds.
     pub read_timeout_ms: u64,
-    /// How long requests in flight may take to end after a stop was asked for, in milliseconds.
+    /// How long requests in flight may continue after a stop was requested, in milliseconds.
     #[builder(default = 2_000)]
     pub grace_ms: u64,
 }
@@ -50,13 +49,13 @@
 /// Why a listener did not start.
 #[derive(Debug, Error)]
 pub enum WebError {
-    /// The thread or its runtime could not be made.
+    /// The thread or its runtime could not be created.
     #[error("cannot start the listener's thread: {0}")]
     Thread(#[from] std::io::Error),
-    /// The address could not be bound, or the routes contradict each other.
+    /// The address could not be bound, or the routes collide.
     #[error("cannot listen on {address}: {detail}")]
     Launch {
-        /// The address that was asked for.
+        /// The requested address.
         address: SocketAddr,
         /// What went wrong.
         detail: String,
@@ -64,7 +63,7 @@
 }
 
 impl WebOptions {
-    /// Rocket's settings, every one of them stated.
+    /// Rocket's configuration, with every setting explicit.
     pub fn rocket_config(&self) -> Config {
         let grace_s = self.grace_ms.div_ceil(1_000) as u32;
         let shutdown = ShutdownConfig {
@@ -100,7 +99,7 @@
     }
 }
 
-/// A listener that is running in its own thread.
+/// A listener running in its own thread.
 #[derive(Debug)]
 pub struct WebServer {
     address: SocketAddr,
@@ -110,16 +109,16 @@
 }
 
 impl WebServer {
-    /// Starts a listener whose routes and state `add_routes` mounts, and waits until it is bound.
+    /// Starts a listener with the routes and state that `add_routes` adds, and waits until it is bound.
     pub fn start(
         options: &WebOptions,
         add_routes: impl FnOnce(Rocket<Build>) -> Rocket<Build>,
     ) -> Result<Self, WebError> {
         let (bound_sender, bound_receiver) = mpsc::sync_channel(1);
         let rocket = rocket::custom(options.rocket_config()).register("/", problem_catchers());
-        let slow_senders = SlowSenders::new(Duration::from_millis(options.read_timeout_ms));
-        let slow_senders_cut = slow_senders.cut_total();
-        let rocket = add_routes(rocket).attach(slow_senders).attach(report_bound(bound_sender));
+        let connection_watch = ConnectionWatch::new(Duration::from_millis(options.read_timeout_ms));
+        let slow_senders_cut = connection_watch.slow_senders_cut();
+        let rocket = add_routes(rocket).attach(connection_watch).attach(report_bound(bound_sender));
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(options.workers)
             .max_blocking_threads(4)
@@ -137,24 +136,26 @@
             Err(_) if thread.is_finished() => {
                 Err(join(thread, address).err().unwrap_or_else(|| WebError::Launch {
                     address,
-                    detail: "ended at once".to_owned(),
+                    detail: "the listener stopped during start-up".to_owned(),
                 }))
             }
-            Err(_) => Err(WebError::Launch { address, detail: "not bound in time".to_owned() }),
+            Err(_) => {
+                Err(WebError::Launch { address, detail: "address not bound in time".to_owned() })
+            }
         }
     }
 
-    /// The address that was bound.
+    /// The bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// A handle that stops the listener from elsewhere; requests in flight may still end.
+    /// A handle that stops the listener gracefully.
     pub fn shutdown_handle(&self) -> Shutdown {
         self.shutdown.clone()
     }
 
-    /// How many connections were cut because no request came in time; for the metrics.
+    /// The number of connections closed because no request arrived in time, for the metrics.
     pub fn slow_senders_cut(&self) -> Arc<AtomicU64> {
         Arc::clone(&self.slow_senders_cut)
     }
@@ -164,7 +165,7 @@
         self.thread.is_finished()
     }
 
-    /// Stops the listener and waits until requests in flight have ended or the grace time is over.
+    /// Stops the listener and waits until requests in flight have ended or the grace period is over.
     pub fn stop(self) -> Result<(), WebError> {
         self.shutdown.notify();
         join(self.thread, self.address)
@@ -173,7 +174,8 @@
 
 /// Reads the whole body of a request, within the limits of the listener.
 ///
-/// Answers 413 for a longer body, 408 for a sender that takes too long, 400 for one that breaks off.
+/// Returns a 413 problem if the body is too long, 408 if it takes too long to arrive, and 400 if it is
+/// truncated.
 pub async fn read_body(
     data: Data<'_>,
     body_max_bytes: usize,
@@ -194,24 +196,24 @@
     Ok(Bytes::from(body.into_inner()))
 }
 
-/// Tells the starting thread which address was bound, and how to stop the listener.
+/// Reports the bound address and the shutdown handle to the starting thread.
 fn report_bound(bound: mpsc::SyncSender<(SocketAddr, Shutdown)>) -> AdHoc {
     AdHoc::on_liftoff("report the bound address", move |rocket| {
         let address = SocketAddr::new(rocket.config().address, rocket.config().port);
-        // The starter may have given up already.
+        // Fails if the starting thread has timed out already.
         let _ = bound.try_send((address, rocket.shutdown()));
         Box::pin(async {})
     })
 }
 
 fn launch_error(address: SocketAddr, error: rocket::Error) -> WebError {
-    // Rocket's error panics when it is dropped unseen; reading its kind counts as seeing it.
+    // Rocket's error panics on drop unless it was inspected; reading its kind counts as that.
     WebError::Launch { address, detail: error.kind().to_string() }
 }
 
 fn join(thread: JoinHandle<Result<(), WebError>>, address: SocketAddr) -> Result<(), WebError> {
     let Ok(ended) = thread.join() else {
-        return Err(WebError::Launch { address, detail: "the thread panicked".to_owned() });
+        return Err(WebError::Launch { address, detail: "listener thread panicked".to_owned() });
     };
     ended
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! Overload control for service call graphs: one small node beside each target.
+//! Overload control for service call graphs, with one sidecar node for each target.
 //!
-//! The decisions are plain state machines without I/O or clock (`call`, `admission`, `routing`,
-//! `retry`, `once`, `membership`, `configuration`, joined in `node`). The threads that move events
-//! and carry out actions are in `duty`.
+//! Decisions are made by state machines without I/O or clock (`call`, `admission`, `routing`, `retry`,
+//! `once`, `membership`, `configuration`, combined in `node`). The threads that deliver events and
+//! execute actions are in `duty`.
 
 pub mod admission;
 pub mod call;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! The root logger: JSON lines, written by a thread of its own that is never waited for.
+//! The root logger: writes JSON lines on a separate thread and never blocks the caller.
 
 use std::io::Write;
 use std::str::FromStr;
@@ -12,18 +12,18 @@
 
 use crate::config::TelemetrySettings;
 
-/// How many lines may wait for the writer.
+/// The maximum number of lines queued for the writer thread; further lines are dropped.
 pub const LINES_WAITING_MAX: usize = 4_096;
 
-/// Why there is no logger.
+/// Why the logger could not be created.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum LoggingError {
-    /// The settings name no level that is known.
-    #[error("unknown log level {0:?}; known are error, warning, info and debug")]
+    /// The settings name an unknown level.
+    #[error("unknown log level {0:?}; expected error, warning, info or debug")]
     UnknownLevel(String),
 }
 
-/// The logger with what belongs to it. Waiting lines are written when it is dropped.
+/// The logger and its writer thread. Queued lines are written when it is dropped.
 pub struct Logging {
     /// The root logger.
     pub logger: Logger,
@@ -32,7 +32,7 @@
 }
 
 impl Logging {
-    /// Builds the root logger, which writes to `output` what is at least as severe as set.
+    /// Starts the root logger, which writes lines of at least the configured severity to `output`.
     pub fn start(
         settings: &TelemetrySettings,
         output: impl Write + Send + 'static,
@@ -53,18 +53,18 @@
             .blocking(false)
             .build_with_guard();
         let dropped = Arc::new(AtomicU64::new(0));
-        let drain = CountDropped { core, dropped: Arc::clone(&dropped) };
+        let drain = CountingDrain { core, dropped: Arc::clone(&dropped) };
         let logger = Logger::root(LevelFilter::new(drain, severity).ignore_res(), o!());
         Ok(Self { logger, dropped, _guard: guard })
     }
 
-    /// How many lines were dropped since the start because the writer was too slow.
+    /// The number of lines dropped since the start because the queue was full.
     pub fn dropped_total(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 }
 
-/// Parses a severity as the settings spell it.
+/// Parses a severity from the settings.
 fn parse_severity(name: &str) -> Result<Severity, LoggingError> {
     if !["error", "warning", "info", "debug"].contains(&name) {
         return Err(LoggingError::UnknownLevel(name.to_owned()));
@@ -72,7 +72,7 @@
     Severity::from_str(name).map_err(|()| LoggingError::UnknownLevel(name.to_owned()))
 }
 
-/// The severity in log lines and in the catalogue.
+/// The name of a severity in log lines and in the event catalogue.
 pub fn severity_name(severity: Severity) -> &'static str {
     match severity {
         Severity::Critical => "critical",
@@ -84,13 +84,13 @@
     }
 }
 
-/// Hands lines to the writer's ring and counts those that do not fit.
-struct CountDropped {
+/// Queues lines for the writer thread and counts those that are dropped.
+struct CountingDrain {
     core: AsyncCore,
     dropped: Arc<AtomicU64>,
 }
 
-impl Drain for CountDropped {
+impl Drain for CountingDrain {
     type Ok = ();
     type Err = Never;
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The one binary of the project.
+//! The `aspenspring` command.
 
 use std::process::ExitCode;
 
