--- a/tests/process_site.rs
+++ b/tests/process_site.rs
@@ -1,16 +1,16 @@
-//! Real processes: traces over a whole call, kills, freezes and planned stops.
+//! Runs sites of real processes: trace trees, killed and frozen processes, and graceful shutdown.
 
 mod processes;
 
 use std::collections::HashMap;
 
-use processes::{Site, at};
+use processes::{Site, loopback};
 use serde_json::Value;
 
-/// A row of four services.
-const DEEP: [&str; 4] = ["front", "stock", "ledger", "vault"];
-/// A row of two services.
-const SHORT: [&str; 2] = ["front", "stock"];
+/// A chain of four services.
+const FOUR_SERVICES: [&str; 4] = ["front", "stock", "ledger", "vault"];
+/// A chain of two services.
+const TWO_SERVICES: [&str; 2] = ["front", "stock"];
 
 /// The value of a text field of a span.
 fn text<'a>(span: &'a Value, name: &str) -> &'a str {
@@ -19,38 +19,40 @@
 
 #[tokio::test]
 async fn one_call_leaves_one_tree_of_spans_through_four_services() {
-    let site = Site::start("tree", &DEEP, 1);
+    let site = Site::start("tree", &FOUR_SERVICES, 1);
     site.wait_until_served().await;
     let trace = "0af7651916cd43dd8448eb211c80319c";
-    let url = format!("http://{}/front/page/traced", at(site.pairs[0].caller_port));
+    let url = format!("http://{}/front/page/traced", loopback(site.pairs[0].caller_port));
     let parent = format!("00-{trace}-00f067aa0ba902b7-01");
     let request = site.client.get(url).header("traceparent", parent);
     assert_eq!(request.send().await.expect("the node answers").status(), 200);
-    let spans_url = format!("http://{}/spans", at(site.collector_port));
+    let spans_url = format!("http://{}/spans", loopback(site.collector_port));
     let of_trace = |all: &Value| -> Vec<Value> {
         let all = all["spans"].as_array().cloned().unwrap_or_default();
         all.into_iter().filter(|span| text(span, "traceId") == trace).collect()
     };
-    // Two spans for each of the four hops: where it is sent on, and where it is received.
+    // Two spans for each of the four hops: one at the sender and one at the receiver.
     let all = site.wait_for(&spans_url, |all| of_trace(all).len() >= 8).await;
     let spans = of_trace(&all);
     assert_eq!(spans.len(), 8);
     let parents: HashMap<&str, &str> =
         spans.iter().map(|span| (text(span, "spanId"), text(span, "parentSpanId"))).collect();
-    let deepest =
-        spans.iter().find(|span| text(span, "name") == "serve vault").expect("it is there");
-    let mut above = text(deepest, "spanId");
-    let mut hops = 0;
-    while let Some(parent) = parents.get(above) {
-        above = parent;
-        hops += 1;
+    let deepest = spans
+        .iter()
+        .find(|span| text(span, "name") == "serve vault")
+        .expect("a span of the last service");
+    let mut ancestor = text(deepest, "spanId");
+    let mut ancestors = 0;
+    while let Some(parent) = parents.get(ancestor) {
+        ancestor = parent;
+        ancestors += 1;
     }
-    assert_eq!((above, hops), ("00f067aa0ba902b7", 8));
+    assert_eq!((ancestor, ancestors), ("00f067aa0ba902b7", 8));
 }
 
 #[tokio::test]
 async fn a_planned_stop_cuts_nothing_off_and_exits_with_zero() {
-    let mut site = Site::start("stop", &SHORT, 2);
+    let mut site = Site::start("stop", &TWO_SERVICES, 2);
     site.wait_until_served().await;
     let mut answered = 0;
     for call in 0..120 {
@@ -74,7 +76,7 @@
 
 #[tokio::test]
 async fn confirmations_run_at_most_once_through_a_kill_and_a_freeze() {
-    let site = Site::start("once", &SHORT, 2);
+    let site = Site::start("once", &TWO_SERVICES, 2);
     site.wait_until_served().await;
     let mut answered = 0;
     let mut calls = Vec::new();
@@ -87,7 +89,7 @@
         }
         let key = format!("order-{call}");
         let path = format!("/confirm/{call}");
-        // The same key through both entry nodes at once.
+        // Sends the same key through both entry nodes concurrently.
         let first = site.call(0, "POST", &path, Some(&key));
         let second = site.call(1, "POST", &path, Some(&key));
         let (first, second) = tokio::join!(first, second);
@@ -96,7 +98,7 @@
         calls.push(statuses);
     }
     assert!(answered > 60, "only {answered} of 120 were answered: {calls:?}");
-    for service in SHORT {
+    for service in TWO_SERVICES {
         let runs = site.runs(service).await;
         assert!(!runs.is_empty());
         for (key, count) in runs {
--- a/tests/processes/mod.rs
+++ b/tests/processes/mod.rs
@@ -1,4 +1,4 @@
-//! A small site of real processes on loopback, each ended by its id when the test ends.
+//! Runs a small site of real processes on loopback. Each process is killed by its id at the end of the test.
 
 use std::collections::HashSet;
 use std::fs::File;
@@ -10,18 +10,18 @@
 
 use serde_json::{Value, json};
 
-/// The lowest port that is tried.
+/// The lowest candidate port.
 const PORT_MIN: u16 = 12_000;
-/// How many ports are tried.
+/// The number of candidate ports.
 const PORT_COUNT: u32 = 18_000;
-/// How far apart the first ports of two processes with neighbouring ids are.
+/// The distance between the first candidate ports of test processes with consecutive ids.
 const PORT_STRIDE: u32 = 211;
-/// How often something that is waited for is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// How often it is looked at before the test gives up.
-const LOOKS_MAX: u32 = 1_200;
+/// The interval between two polls of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// The number of polls after which the test fails.
+const POLLS_MAX: u32 = 1_200;
 
-/// One node with its target.
+/// A node and its target.
 pub struct Pair {
     pub service: &'static str,
     pub caller_port: u16,
@@ -35,29 +35,29 @@
     pub pairs: Vec<Pair>,
     pub table_port: u16,
     pub collector_port: u16,
-    /// Where the settings and the logs of the nodes are.
+    /// The folder with the nodes' settings and logs.
     pub folder: PathBuf,
     platform: Vec<Child>,
     pub client: reqwest::Client,
 }
 
 impl Site {
-    /// Starts services in a row, the first calling the second and so on, `targets` of each.
+    /// Starts a chain of services, each calling the next one, with `targets` targets per service.
     pub fn start(name: &str, services: &[&'static str], targets: usize) -> Self {
         let ports = free_ports(2 + services.len() * targets * 5);
         let folder = format!("{name}-{}", std::process::id());
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(folder);
-        std::fs::create_dir_all(&folder).expect("the folder for settings can be made");
+        std::fs::create_dir_all(&folder).expect("create the settings folder");
         let (table_port, collector_port) = (ports[0], ports[1]);
-        let table = standin(&["table", "--listen", &at(table_port)]);
-        let collector = standin(&["collector", "--listen", &at(collector_port)]);
+        let table = start_standin(&["table", "--listen", &loopback(table_port)]);
+        let collector = start_standin(&["collector", "--listen", &loopback(collector_port)]);
         let client = reqwest::Client::builder()
             .no_proxy()
             .redirect(reqwest::redirect::Policy::none())
             .retry(reqwest::retry::never())
             .timeout(Duration::from_secs(10))
             .build()
-            .expect("a client can be made");
+            .expect("create an HTTP client");
         let mut site = Self {
             pairs: Vec::new(),
             table_port,
@@ -79,35 +79,36 @@
             "site": "test",
             "node": {
                 "name": format!("{service}-{index}"), "failure_domain": "a", "service": service,
-                "caller_listen": at(ports[0]), "target_listen": at(ports[1]),
-                "peer_listen": at(ports[2]), "operator_listen": at(ports[3]), "leave_ms": 1500
+                "caller_listen": loopback(ports[0]), "target_listen": loopback(ports[1]),
+                "peer_listen": loopback(ports[2]), "operator_listen": loopback(ports[3]), "leave_ms": 1500
             },
             "platform": {
-                "table_url": format!("http://{}", at(self.table_port)),
-                "objects_url": format!("http://{}", at(self.table_port)), "poll_ms": 1000
+                "table_url": format!("http://{}", loopback(self.table_port)),
+                "objects_url": format!("http://{}", loopback(self.table_port)), "poll_ms": 1000
             },
             "telemetry": {
-                "otlp_url": format!("http://{}", at(self.collector_port)), "sample_share": 1.0
+                "otlp_url": format!("http://{}", loopback(self.collector_port)), "sample_share": 1.0
             },
             "rules": rules(services)
         });
         let file = self.folder.join(format!("{index}.json"));
-        std::fs::write(&file, settings.to_string()).expect("settings can be written");
+        std::fs::write(&file, settings.to_string()).expect("write the settings");
         let file = file.to_string_lossy().into_owned();
-        let log = File::create(self.folder.join(format!("{index}.log"))).expect("a log");
-        let node = program(&["node", "--settings", &file], log.into());
-        let (listen, beside) = (at(ports[4]), at(ports[1]));
+        let log =
+            File::create(self.folder.join(format!("{index}.log"))).expect("create the log file");
+        let node = start_program(&["node", "--settings", &file], log.into());
+        let (listen, node_address) = (loopback(ports[4]), loopback(ports[1]));
         let mut arguments =
-            vec!["target", "--service", service, "--listen", &listen, "--node", &beside];
-        if let Some(below) = services.get(depth + 1) {
-            arguments.extend(["--calls", below]);
+            vec!["target", "--service", service, "--listen", &listen, "--node", &node_address];
+        if let Some(next) = services.get(depth + 1) {
+            arguments.extend(["--calls", next]);
         }
-        let target = standin(&arguments);
+        let target = start_standin(&arguments);
         let (caller_port, target_port) = (ports[0], ports[4]);
         self.pairs.push(Pair { service, caller_port, target_port, node, target });
     }
 
-    /// Makes a call at a node and gives its status, its verdict and its body.
+    /// Calls the first service through a node; returns the status, the verdict and the body.
     pub async fn call(
         &self,
         pair: usize,
@@ -115,8 +116,9 @@
         path: &str,
         key: Option<&str>,
     ) -> Option<(u16, String, String)> {
-        let url = format!("http://{}/{}{path}", at(self.pairs[pair].caller_port), self.first());
-        let method = reqwest::Method::from_bytes(method.as_bytes()).expect("a method");
+        let url =
+            format!("http://{}/{}{path}", loopback(self.pairs[pair].caller_port), self.first());
+        let method = reqwest::Method::from_bytes(method.as_bytes()).expect("a valid method");
         let mut request = self.client.request(method, url);
         if let Some(key) = key {
             request = request.header("idempotency-key", key);
@@ -128,73 +130,77 @@
         Some((status, verdict, response.text().await.ok()?))
     }
 
-    /// Waits until every node answers a call whole, and every target has called every target of the service
-    /// below its own.
+    /// Waits until every node answers a call successfully, and every target has called every target of the
+    /// next service.
     ///
-    /// A whole answer at a node's port may come from beside another node, so it does not show that this
-    /// one knows the service below: nodes read of each other at intervals, and one of two front nodes learnt of
-    /// the service below later than the other by seconds. Until then its target's calls are refused.
+    /// A successful answer through a node may come from the target of another node, so it does not show
+    /// that this node knows the next service. Nodes learn of each other at intervals: one of two front
+    /// nodes learned of the next service seconds after the other. Until then its target's calls are refused.
     pub async fn wait_until_served(&self) {
         for pair in 0..self.pairs.len() {
-            for look in 0..LOOKS_MAX {
+            for poll in 0..POLLS_MAX {
                 let answer = self.call(pair, "GET", "/page/ready", None).await;
                 if answer.is_some_and(|(status, ..)| status == 200) {
                     break;
                 }
-                assert!(look + 1 < LOOKS_MAX, "node {pair} serves nothing");
-                tokio::time::sleep(LOOK_EVERY).await;
+                assert!(poll + 1 < POLLS_MAX, "node {pair} did not answer a call in time");
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         let mut seen = HashSet::new();
-        for look in 0.. {
+        for poll in 0.. {
             for pair in 0..self.pairs.len() {
                 let Some((200, _, body)) = self.call(pair, "GET", "/page/ready", None).await else {
                     continue;
                 };
-                note_calls(&body, &mut seen);
+                collect_calls(&body, &mut seen);
             }
             if seen.len() == self.calls_expected() {
                 return;
             }
-            assert!(look < LOOKS_MAX, "only these call each other: {seen:?}");
-            tokio::time::sleep(LOOK_EVERY).await;
+            assert!(
+                poll < POLLS_MAX,
+                "not every target has called all of the next service; calls seen: {seen:?}"
+            );
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// How many pairs of targets there are of which one calls the other.
+    /// The number of pairs of targets in which one calls the other.
     fn calls_expected(&self) -> usize {
         let mut expected = 0;
         for pair in &self.pairs {
-            let below = self.pairs.iter().skip_while(|other| other.service != pair.service);
-            let next = below.clone().find(|other| other.service != pair.service);
+            let rest = self.pairs.iter().skip_while(|other| other.service != pair.service);
+            let next = rest.clone().find(|other| other.service != pair.service);
             let Some(next) = next else { continue };
-            expected += below.filter(|other| other.service == next.service).count();
+            expected += rest.filter(|other| other.service == next.service).count();
         }
         expected
     }
 
-    /// Reads JSON from a stand-in until `is_it` likes it.
-    pub async fn wait_for(&self, url: &str, is_it: impl Fn(&Value) -> bool) -> Value {
-        for _ in 0..LOOKS_MAX {
-            if let Some(value) = self.read(url).await.filter(&is_it) {
+    /// Polls a URL until it returns JSON that satisfies `is_expected`.
+    pub async fn wait_for(&self, url: &str, is_expected: impl Fn(&Value) -> bool) -> Value {
+        for _ in 0..POLLS_MAX {
+            if let Some(value) = self.read(url).await.filter(&is_expected) {
                 return value;
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        panic!("{url} never said what was waited for");
+        panic!("{url} did not return the expected JSON in time");
     }
 
-    /// Reads JSON from a stand-in.
+    /// Reads JSON from a URL; `None` on any failure.
     pub async fn read(&self, url: &str) -> Option<Value> {
         let response = self.client.get(url).send().await.ok()?;
         serde_json::from_str(&response.text().await.ok()?).ok()
     }
 
-    /// How often the targets of a service ran a request with each idempotency key.
+    /// How many requests the targets of a service ran for each idempotency key, one entry per target and
+    /// key.
     pub async fn runs(&self, service: &str) -> Vec<(String, u64)> {
         let mut runs = Vec::new();
         for pair in self.pairs.iter().filter(|pair| pair.service == service) {
-            let url = format!("http://{}/_aspenspring/runs", at(pair.target_port));
+            let url = format!("http://{}/_aspenspring/runs", loopback(pair.target_port));
             let Some(value) = self.read(&url).await else { continue };
             let Some(keys) = value["runs_by_key"].as_object() else { continue };
             for (key, count) in keys {
@@ -204,7 +210,7 @@
         runs
     }
 
-    /// The first service of the row.
+    /// The first service of the chain.
     pub fn first(&self) -> &'static str {
         self.pairs[0].service
     }
@@ -216,16 +222,17 @@
         unsafe { libc::kill(pid, signal) };
     }
 
-    /// Waits until a node has ended and gives its exit code.
+    /// Waits until a node has exited; returns its exit code.
     pub async fn wait_for_exit(&mut self, pair: usize) -> Option<i32> {
-        for _ in 0..LOOKS_MAX {
-            let ended = self.pairs[pair].node.try_wait().expect("a child can be waited for");
+        for _ in 0..POLLS_MAX {
+            let ended =
+                self.pairs[pair].node.try_wait().expect("query the state of the node process");
             if let Some(status) = ended {
                 return status.code();
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        panic!("node {pair} does not end");
+        panic!("node {pair} did not exit in time");
     }
 }
 
@@ -233,15 +240,15 @@
     fn drop(&mut self) {
         let pairs = self.pairs.iter_mut().flat_map(|pair| [&mut pair.node, &mut pair.target]);
         for child in pairs.chain(&mut self.platform) {
-            // A process that has ended already needs no end.
+            // Fails if the process has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 }
 
-/// Notes which target called which, in a whole answer.
-fn note_calls(answer: &str, seen: &mut HashSet<(String, String)>) {
+/// Adds the pairs of calling and called target in a successful answer to `seen`.
+fn collect_calls(answer: &str, seen: &mut HashSet<(String, String)>) {
     let mut answer: Value = serde_json::from_str(answer).expect("a target answers with JSON");
     while let Some(child) = answer["children"].get(0).cloned() {
         let name = |answer: &Value| answer["target"].as_str().unwrap_or_default().to_owned();
@@ -250,15 +257,15 @@
     }
 }
 
-/// The rules of a row of services.
+/// The rules for a chain of services.
 fn rules(services: &[&str]) -> Value {
     let mut routes = vec![json!({ "service": services[0], "method": "POST",
         "path_prefix": "/confirm", "class": "confirm" })];
-    let mut rows = Vec::new();
+    let mut entries = Vec::new();
     for (depth, service) in services.iter().enumerate() {
         routes.push(json!({ "service": service, "class": "browse" }));
         let calls: Vec<&&str> = services.get(depth + 1).into_iter().collect();
-        rows.push(json!({ "name": service, "slots": 32, "connections": 250, "calls": calls }));
+        entries.push(json!({ "name": service, "slots": 32, "connections": 250, "calls": calls }));
     }
     json!({
         "classes": [
@@ -267,7 +274,7 @@
               "deadline_max_ms": 8000 }
         ],
         "routes": routes,
-        "services": rows,
+        "services": entries,
         "arms": [{ "id": 0, "name": "main", "share": 1.0, "policy": "bounded" }],
         "policies": [{ "name": "bounded", "limit": { "kind": "static" }, "choice": "least_loaded",
             "retry": { "kind": "bounded", "allowance": 3, "budget_share": 0.2, "backoff_ms": 5,
@@ -275,8 +282,8 @@
     })
 }
 
-/// Ports that are free now, below those that the system gives to outgoing connections, one of which
-/// could otherwise take a port before its process is up.
+/// Returns ports that are free now. They lie below the ephemeral range, so that no outgoing connection
+/// takes one before its process has bound it.
 fn free_ports(count: usize) -> Vec<u16> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let first = std::process::id().wrapping_mul(PORT_STRIDE);
@@ -291,25 +298,25 @@
     ports
 }
 
-/// An address on loopback.
-pub fn at(port: u16) -> String {
+/// The loopback address with a port.
+pub fn loopback(port: u16) -> String {
     format!("127.0.0.1:{port}")
 }
 
-/// Starts a stand-in.
-fn standin(arguments: &[&str]) -> Child {
+/// Starts a stand-in process.
+fn start_standin(arguments: &[&str]) -> Child {
     let mut all = vec!["standin"];
     all.extend(arguments);
-    program(&all, Stdio::null())
+    start_program(&all, Stdio::null())
 }
 
-/// Starts the program, with its log at `log`.
-fn program(arguments: &[&str], log: Stdio) -> Child {
+/// Starts the program with its log written to `log`.
+fn start_program(arguments: &[&str], log: Stdio) -> Child {
     Command::new(env!("CARGO_BIN_EXE_aspenspring"))
         .args(arguments)
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(log)
         .spawn()
-        .expect("the program can be started")
+        .expect("start the program")
 }
