--- a/src/duty/decider.rs
+++ b/src/duty/decider.rs
@@ -241,7 +241,7 @@
     fn handle(&mut self, node: &mut Node, event: NodeEvent) {
         let mut actions = Vec::new();
         let now_us = self.clock.now_us();
-        self.recorder.take(now_us, &event);
+        self.recorder.record(now_us, &event);
         node.handle(now_us, event, &mut actions);
         let mut failed = Vec::new();
         for action in actions {
--- a/src/duty/recorder.rs
+++ b/src/duty/recorder.rs
@@ -41,7 +41,7 @@
 
 impl Recorder {
     /// Queues an event, or stops the recording if the ring has no room for it.
-    pub fn take(&mut self, at_us: u64, event: &NodeEvent) {
+    pub fn record(&mut self, at_us: u64, event: &NodeEvent) {
         let Some(ring) = &self.ring else { return };
         let bytes = body_bytes(event);
         // The writer subtracts the bytes of a line only after they were added here.
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -47,7 +47,7 @@
     let path = new_file("whole.jsonl");
     let (mut recorder, duty) = recorder::start(&path, &header()).expect("a new file");
     let at_us = header().started_us + 5;
-    recorder.take(at_us, &call(3));
+    recorder.record(at_us, &call(3));
     recorder.finish();
     duty.stop().expect("all is written");
     let text = std::fs::read_to_string(&path).expect("the recording");
@@ -65,9 +65,9 @@
     let path = new_file("behind.jsonl");
     let (mut recorder, duty) = recorder::start(&path, &header()).expect("a new file");
     let at_us = header().started_us;
-    recorder.take(at_us, &NodeEvent::Tick);
-    recorder.take(at_us, &call(BODIES_MAX_BYTES + 1));
-    recorder.take(at_us, &NodeEvent::Tick);
+    recorder.record(at_us, &NodeEvent::Tick);
+    recorder.record(at_us, &call(BODIES_MAX_BYTES + 1));
+    recorder.record(at_us, &NodeEvent::Tick);
     recorder.finish();
     duty.stop().expect("all is written");
     let text = std::fs::read_to_string(&path).expect("the recording");
