--- a/src/duty/store.rs
+++ b/src/duty/store.rs
@@ -1,9 +1,9 @@
-//! The thread that carries out requests to the platform's table service.
+//! The thread that sends requests to the platform's table service.
 //!
-//! Requests come through a bounded ring and are refused at once when it is full. Nothing is ever
-//! sent twice behind the back of whoever asked: no redirects, no proxy, no retries, no connection
-//! that was used before. The one exception is [`StoreOperation::ClaimKey`], which settles a lost
-//! answer itself by reading back; creating a row that must not exist is safe to repeat.
+//! Requests arrive through a bounded ring buffer and are refused at once when it is full. A request
+//! is never repeated without the caller's knowledge: no redirects, no proxy, no retries and no
+//! reused connections. The one exception is [`StoreOperation::ClaimKey`], which resolves a lost
+//! response by reading the row back; a create that requires the row to be absent is idempotent.
 
 mod circuit;
 mod claim;
@@ -20,7 +20,7 @@
 use crate::call::NodeId;
 use crate::clock::Clock;
 
-use circuit::Circuit;
+use circuit::CircuitBreaker;
 use client::Client;
 
 /// A row of the table.
@@ -28,40 +28,40 @@
 pub struct Row {
     /// Its key.
     pub key: String,
-    /// The version the table service gave it; raised with every write.
+    /// The version assigned by the table service; increases with every write.
     pub version: u64,
     /// Its value.
     pub value: serde_json::Value,
 }
 
-/// What must stand in the table for a write to take effect.
+/// The precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// Anything.
+    /// No precondition.
     Any,
-    /// No row with this key.
+    /// No row with this key exists.
     Absent,
-    /// The row with this version.
+    /// The row exists with this version.
     Version(u64),
 }
 
-/// Who owns an idempotency key of a caller's own making.
+/// The owner of an idempotency key chosen by a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The only node that may run requests with the key.
     pub owner: NodeId,
-    /// A random part; together with the others it makes the key that nodes use.
+    /// A random number; with the other fields it forms the key that nodes use internally.
     pub nonce: u64,
-    /// When it was claimed, in milliseconds since the Unix epoch, by the owner's clock.
+    /// When the key was claimed, in milliseconds since the Unix epoch, by the owner's clock.
     pub minted_unix_ms: u64,
 }
 
-/// What to do.
+/// An operation on the table.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreOperation {
-    /// Read all rows whose keys begin with this.
+    /// Read all rows whose keys begin with a prefix.
     ReadRows {
-        /// What the keys begin with.
+        /// The prefix.
         prefix: String,
     },
     /// Read one row.
@@ -75,19 +75,19 @@
         key: String,
         /// Its value.
         value: serde_json::Value,
-        /// What must stand there.
+        /// The precondition.
         condition: Condition,
     },
     /// Delete one row.
     Delete {
         /// Its key.
         key: String,
-        /// The version that must stand there, or any.
+        /// The version the row must have; `None` for any.
         version: Option<u64>,
     },
-    /// Claim a key, or learn who has claimed it.
+    /// Claim an idempotency key, or read the existing claim.
     ClaimKey {
-        /// The row's key, from [`claim_row_key`](crate::call::key::claim_row_key).
+        /// The key of the claim's row, from [`claim_row_key`](crate::call::key::claim_row_key).
         key: String,
         /// The claim.
         claim: Claim,
@@ -97,32 +97,32 @@
 /// One request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreRequest {
-    /// Comes back with the outcome.
+    /// Identifies the request in its outcome.
     pub id: u64,
-    /// What to do.
+    /// The operation to perform.
     pub operation: StoreOperation,
 }
 
-/// What was done.
+/// The result of a completed request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StoreOutcome {
     /// The rows read.
     Rows(Vec<Row>),
-    /// The row read, or none where there is none.
+    /// The row read; `None` if it does not exist.
     Row(Option<Row>),
     /// The row was written.
     Written {
-        /// Its version now.
+        /// Its new version.
         version: u64,
     },
-    /// The row was deleted or was not there.
+    /// The row was deleted or did not exist.
     Deleted,
-    /// Nothing was written or deleted because something else stands there.
+    /// The precondition did not hold; nothing was written or deleted.
     Conflict {
-        /// What stands there, or none.
+        /// The current row, if any.
         present: Option<Row>,
     },
-    /// Who owns the key for ever: the claim of the request, or one made before it.
+    /// The permanent owner of the key: the claim of this request or an earlier one.
     Claimed(Claim),
 }
 
@@ -131,7 +131,7 @@
 pub enum Certainty {
     /// It did not take effect and will not.
     NotApplied,
-    /// It may have taken effect, or may do so later.
+    /// It may have taken effect, or may still do so.
     MayHaveBeenApplied,
 }
 
@@ -141,17 +141,17 @@
 pub struct StoreError {
     /// Whether it may have taken effect.
     pub certainty: Certainty,
-    /// Why, for logs.
+    /// The cause, for logs.
     pub cause: String,
 }
 
 impl StoreError {
-    /// A failure before anything was sent, or one the service is known not to act on.
+    /// A failure before anything was sent, or a response that rules out an effect.
     fn not_applied(cause: impl Into<String>) -> Self {
         Self { certainty: Certainty::NotApplied, cause: cause.into() }
     }
 
-    /// A failure after the request may have arrived.
+    /// A failure after the request may have reached the service.
     fn may_have_been_applied(cause: impl Into<String>) -> Self {
         Self { certainty: Certainty::MayHaveBeenApplied, cause: cause.into() }
     }
@@ -162,16 +162,16 @@
 pub struct StoreEvent {
     /// The request's id.
     pub id: u64,
-    /// What came of it.
+    /// The result, or why the request failed.
     pub outcome: Result<StoreOutcome, StoreError>,
 }
 
-/// The ring is full, or the thread has ended: nothing was sent.
+/// The ring buffer is full or the thread has ended; nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the store's ring is full")]
 pub struct StoreFull;
 
-/// How the store is reached and how hard it may be used.
+/// The address of the table service and the limits on its use.
 #[derive(Clone, Debug, Builder)]
 pub struct StoreOptions {
     /// The table service's base URL.
@@ -179,47 +179,47 @@
     /// How long one exchange may take, in milliseconds.
     #[builder(default = 2_000)]
     pub timeout_ms: u64,
-    /// How many requests may wait.
+    /// Capacity of the request ring buffer.
     #[builder(default = 256)]
     pub ring_entries: usize,
-    /// How many exchanges may be under way at once.
+    /// How many exchanges may run concurrently.
     #[builder(default = 8)]
     pub concurrency: usize,
-    /// The most exchanges a second, on average.
+    /// The sustained rate limit, in exchanges per second.
     #[builder(default = 20.0)]
     pub rate_per_s: f64,
-    /// The most exchanges at once after a quiet time.
+    /// The burst size of the rate limit, in exchanges.
     #[builder(default = 20.0)]
     pub burst: f64,
-    /// The longest pause after failures, in milliseconds.
+    /// The longest time the circuit breaker stays open, in milliseconds.
     #[builder(default = 15_000)]
     pub pause_max_ms: u64,
-    /// The seed of the jitter of pauses.
+    /// The seed of the jitter of that time.
     pub seed: u64,
 }
 
-/// Hands requests to the thread. Dropping all handles ends it.
+/// Submits requests to the thread. The thread ends when all handles are dropped.
 #[derive(Clone, Debug)]
 pub struct StoreHandle {
     ring: mpsc::Sender<StoreRequest>,
 }
 
 impl StoreHandle {
-    /// Hands over a request; its outcome goes to the sink.
+    /// Submits a request; its outcome goes to the sink.
     ///
     /// # Errors
     ///
-    /// `StoreFull` if the ring is full or the thread has ended; the request has not been sent.
+    /// `StoreFull` if the ring buffer is full or the thread has ended; the request was not sent.
     pub fn try_submit(&self, request: StoreRequest) -> Result<(), StoreFull> {
         self.ring.try_send(request).map_err(|_| StoreFull)
     }
 }
 
-/// Starts the thread. `sink` is called on it with each outcome and must not block.
+/// Starts the thread. `sink` is called on that thread with each outcome and must not block.
 ///
 /// # Errors
 ///
-/// If the thread, its runtime or the HTTP client cannot be made.
+/// If the thread, its runtime or the HTTP client cannot be created.
 pub fn start(
     options: StoreOptions,
     sink: impl Fn(StoreEvent) + Send + 'static,
@@ -234,7 +234,7 @@
     Ok((StoreHandle { ring }, thread))
 }
 
-/// Takes requests off the ring until all handles are dropped and all requests have an outcome.
+/// Processes requests until all handles are dropped and all requests have an outcome.
 async fn run(
     options: StoreOptions,
     client: Client,
@@ -243,41 +243,43 @@
 ) {
     let clock = Clock::start();
     let client = Rc::new(client);
-    let circuit = Rc::new(Circuit::new(&options));
+    let circuit = Rc::new(CircuitBreaker::new(&options));
     let sink = Rc::new(sink);
-    let slots = Arc::new(Semaphore::new(options.concurrency.max(1)));
-    let all = u32::try_from(options.concurrency.max(1)).unwrap_or(u32::MAX);
+    let permits = Arc::new(Semaphore::new(options.concurrency.max(1)));
+    let permit_count = u32::try_from(options.concurrency.max(1)).unwrap_or(u32::MAX);
     while let Some(request) = requests.recv().await {
-        let Ok(slot) = slots.clone().acquire_owned().await else { break };
+        let Ok(permit) = permits.clone().acquire_owned().await else { break };
         let (client, circuit, sink) = (client.clone(), circuit.clone(), sink.clone());
         tokio::task::spawn_local(async move {
-            let outcome = carry_out(&client, &circuit, clock, request.operation).await;
+            let outcome = execute(&client, &circuit, clock, request.operation).await;
             sink(StoreEvent { id: request.id, outcome });
-            drop(slot);
+            drop(permit);
         });
     }
-    // Every exchange has a timeout, so this ends.
-    let _all_done = slots.acquire_many(all).await;
+    // Waits for the running exchanges; each has a timeout, so this terminates.
+    let _all_permits = permits.acquire_many(permit_count).await;
 }
 
-/// One request, with everything it takes.
-async fn carry_out(
+/// Performs one request, which may take several exchanges.
+async fn execute(
     client: &Client,
-    circuit: &Circuit,
+    circuit: &CircuitBreaker,
     clock: Clock,
     operation: StoreOperation,
 ) -> Result<StoreOutcome, StoreError> {
     let StoreOperation::ClaimKey { key, claim } = operation else {
         return exchange(client, circuit, clock, &operation).await;
     };
-    claim::settle(key, claim, async |operation| exchange(client, circuit, clock, &operation).await)
-        .await
+    claim::claim_key(key, claim, async |operation| {
+        exchange(client, circuit, clock, &operation).await
+    })
+    .await
 }
 
-/// One exchange with the table service, if the circuit lets it through.
+/// Performs one exchange with the table service, if the circuit breaker and rate limit allow it.
 async fn exchange(
     client: &Client,
-    circuit: &Circuit,
+    circuit: &CircuitBreaker,
     clock: Clock,
     operation: &StoreOperation,
 ) -> Result<StoreOutcome, StoreError> {
--- a/src/duty/store/circuit.rs
+++ b/src/duty/store/circuit.rs
@@ -1,4 +1,4 @@
-//! How hard a node uses the store: a bounded rate, and pauses while the store fails.
+//! Rate limit and circuit breaker for requests to the table service.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -10,45 +10,45 @@
 
 use super::{StoreError, StoreOptions};
 
-/// Failures in a row after which the circuit opens.
+/// Consecutive failures after which the circuit opens.
 const FAILURES_TO_OPEN: u32 = 3;
-/// The longest first pause, in microseconds.
-const FIRST_PAUSE_US: u64 = 500 * US_PER_MS;
-/// The longest an exchange may wait for its turn, in microseconds.
-const WAIT_MAX_US: u64 = 2 * US_PER_S;
+/// Upper bound of the first pause after the circuit opens, in microseconds.
+const FIRST_PAUSE_MAX_US: u64 = 500 * US_PER_MS;
+/// The longest an exchange may wait for the rate limit, in microseconds.
+const RATE_WAIT_MAX_US: u64 = 2 * US_PER_S;
 
-/// The state of the circuit.
+/// Mutable state of the rate limit and the circuit breaker.
 #[derive(Debug)]
 struct State {
-    /// Exchanges that may begin at once; below zero while some wait for their turn.
+    /// Tokens of the token bucket; negative while exchanges wait for their token.
     tokens: f64,
-    filled_us: u64,
-    failures: u32,
-    /// Until when nothing is sent.
+    refilled_at_us: u64,
+    consecutive_failures: u32,
+    /// The circuit is open, and nothing is sent, until this time.
     open_until_us: u64,
-    /// Whether the one exchange that tries whether the store is back is under way.
-    probing: bool,
+    /// Whether the single probe of the half-open circuit is running.
+    is_probing: bool,
     rng: SmallRng,
 }
 
-/// Decides which exchanges may begin, and when.
+/// Decides whether and when an exchange may begin: a token bucket and a circuit breaker.
 #[derive(Debug)]
-pub(super) struct Circuit {
+pub(super) struct CircuitBreaker {
     rate_per_s: f64,
     burst: f64,
     pause_max_us: u64,
     state: RefCell<State>,
 }
 
-impl Circuit {
-    /// A closed circuit with a full burst.
+impl CircuitBreaker {
+    /// A closed circuit with a full token bucket.
     pub(super) fn new(options: &StoreOptions) -> Self {
         let state = State {
             tokens: options.burst,
-            filled_us: 0,
-            failures: 0,
+            refilled_at_us: 0,
+            consecutive_failures: 0,
             open_until_us: 0,
-            probing: false,
+            is_probing: false,
             rng: SmallRng::seed_from_u64(options.seed),
         };
         Self {
@@ -59,47 +59,51 @@
         }
     }
 
-    /// How long an exchange waits for its turn.
+    /// Returns how long an exchange must wait for the rate limit.
     ///
     /// # Errors
     ///
-    /// If the store is taken to be away, or too many exchanges wait: nothing was sent.
+    /// If the circuit is open, or the wait would be too long. Nothing was sent.
     pub(super) fn admit(&self, now_us: u64) -> Result<Duration, StoreError> {
         let mut state = self.state.borrow_mut();
-        let tripped = state.failures >= FAILURES_TO_OPEN;
-        if now_us < state.open_until_us || (tripped && state.probing) {
+        let is_tripped = state.consecutive_failures >= FAILURES_TO_OPEN;
+        if now_us < state.open_until_us || (is_tripped && state.is_probing) {
             return Err(StoreError::not_applied("taken to be away after failures"));
         }
-        self.fill(&mut state, now_us);
-        let owed = (1.0 - state.tokens).max(0.0);
-        let wait_us = (owed / self.rate_per_s * US_PER_S as f64) as u64;
-        if wait_us > WAIT_MAX_US {
+        self.refill(&mut state, now_us);
+        let deficit = (1.0 - state.tokens).max(0.0);
+        let wait_us = (deficit / self.rate_per_s * US_PER_S as f64) as u64;
+        if wait_us > RATE_WAIT_MAX_US {
             return Err(StoreError::not_applied("this node's rate is used up"));
         }
         state.tokens -= 1.0;
-        state.probing = tripped;
+        state.is_probing = is_tripped;
         Ok(Duration::from_micros(wait_us))
     }
 
-    fn fill(&self, state: &mut State, now_us: u64) {
-        let elapsed_us = now_us.saturating_sub(state.filled_us);
-        state.filled_us = now_us;
-        let earned = elapsed_us as f64 / US_PER_S as f64 * self.rate_per_s;
-        state.tokens = (state.tokens + earned).min(self.burst);
+    /// Adds the tokens accrued since the last refill.
+    fn refill(&self, state: &mut State, now_us: u64) {
+        let elapsed_us = now_us.saturating_sub(state.refilled_at_us);
+        state.refilled_at_us = now_us;
+        let refilled = elapsed_us as f64 / US_PER_S as f64 * self.rate_per_s;
+        state.tokens = (state.tokens + refilled).min(self.burst);
     }
 
-    /// Takes the outcome of an exchange that was let through.
-    pub(super) fn report(&self, now_us: u64, ok: bool) {
+    /// Records the outcome of an admitted exchange.
+    pub(super) fn report(&self, now_us: u64, is_ok: bool) {
         let mut state = self.state.borrow_mut();
-        state.probing = false;
-        if ok {
-            state.failures = 0;
+        state.is_probing = false;
+        if is_ok {
+            state.consecutive_failures = 0;
             state.open_until_us = 0;
             return;
         }
-        state.failures = state.failures.saturating_add(1);
-        let Some(openings) = state.failures.checked_sub(FAILURES_TO_OPEN) else { return };
-        let ceiling_us = (FIRST_PAUSE_US << openings.min(16)).min(self.pause_max_us).max(1);
+        state.consecutive_failures = state.consecutive_failures.saturating_add(1);
+        let Some(excess_failures) = state.consecutive_failures.checked_sub(FAILURES_TO_OPEN) else {
+            return;
+        };
+        let ceiling_us =
+            (FIRST_PAUSE_MAX_US << excess_failures.min(16)).min(self.pause_max_us).max(1);
         let pause_us = state.rng.random_range(ceiling_us / 4..=ceiling_us);
         state.open_until_us = now_us + pause_us;
     }
--- a/src/duty/store/claim.rs
+++ b/src/duty/store/claim.rs
@@ -1,15 +1,15 @@
-//! Claiming an idempotency key of a caller's own making for one owner, once and for ever.
+//! Claims an idempotency key chosen by a caller for one owner, permanently.
 
 use super::{Certainty, Claim, Condition, Row, StoreError, StoreOperation, StoreOutcome};
 
-/// How often a claim whose answers get lost is tried.
-const TRIES: u32 = 3;
+/// Attempts at a claim whose responses are lost.
+const ATTEMPTS_MAX: u32 = 3;
 
-/// Creates the claim's row, and after a lost answer finds out who has claimed the key.
+/// Creates the claim's row; after a lost response, reads it back to find the owner of the key.
 ///
-/// A claim that takes effect after all, later than its failure was reported, names this owner, who
-/// then knows nothing of a run: the key may be run by that owner and nobody else.
-pub(super) async fn settle(
+/// A claim may still take effect after its failure was reported. It then names this owner, which
+/// has no record of a run with the key; the key may still be run only by that owner.
+pub(super) async fn claim_key(
     key: String,
     claim: Claim,
     exchange: impl AsyncFn(StoreOperation) -> Result<StoreOutcome, StoreError>,
@@ -17,29 +17,29 @@
     let value = serde_json::to_value(claim).map_err(|e| StoreError::not_applied(e.to_string()))?;
     let put = StoreOperation::Put { key: key.clone(), value, condition: Condition::Absent };
     let mut in_doubt = false;
-    let mut last = StoreError::not_applied("not tried");
-    for _ in 0..TRIES {
+    let mut last_error = StoreError::not_applied("not tried");
+    for _ in 0..ATTEMPTS_MAX {
         match exchange(put.clone()).await {
             Ok(StoreOutcome::Written { .. }) => return Ok(StoreOutcome::Claimed(claim)),
-            Ok(StoreOutcome::Conflict { present: Some(row) }) => return owner(&row),
-            Ok(_) => last = StoreError::not_applied("unexpected outcome of a claim"),
-            Err(error) => last = error,
+            Ok(StoreOutcome::Conflict { present: Some(row) }) => return existing_claim(&row),
+            Ok(_) => last_error = StoreError::not_applied("unexpected outcome of a claim"),
+            Err(error) => last_error = error,
         }
-        in_doubt |= last.certainty == Certainty::MayHaveBeenApplied;
+        in_doubt |= last_error.certainty == Certainty::MayHaveBeenApplied;
         if !in_doubt {
-            return Err(last);
+            return Err(last_error);
         }
         let read = exchange(StoreOperation::ReadRow { key: key.clone() }).await;
         if let Ok(StoreOutcome::Row(Some(row))) = read {
-            return owner(&row);
+            return existing_claim(&row);
         }
     }
     let certainty = if in_doubt { Certainty::MayHaveBeenApplied } else { Certainty::NotApplied };
-    Err(StoreError { certainty, ..last })
+    Err(StoreError { certainty, ..last_error })
 }
 
-/// The claim that stands in `row`.
-fn owner(row: &Row) -> Result<StoreOutcome, StoreError> {
+/// The claim stored in `row`.
+fn existing_claim(row: &Row) -> Result<StoreOutcome, StoreError> {
     let claim: Claim = serde_json::from_value(row.value.clone())
         .map_err(|e| StoreError::not_applied(format!("row {} is no claim: {e}", row.key)))?;
     Ok(StoreOutcome::Claimed(claim))
--- a/src/duty/store/client.rs
+++ b/src/duty/store/client.rs
@@ -1,4 +1,4 @@
-//! One exchange with the table service over HTTP.
+//! HTTP client of the table service: one request and response per operation.
 
 use std::time::Duration;
 
@@ -8,18 +8,18 @@
 
 use super::{Certainty, Condition, Row, StoreError, StoreOperation, StoreOutcome};
 
-/// The table all nodes use.
+/// The table shared by all nodes.
 const TABLE: &str = "aspenspring";
-/// The longest answer that is read, in bytes.
-const ANSWER_MAX_BYTES: usize = 16 << 20;
+/// The longest response body accepted, in bytes.
+const RESPONSE_MAX_BYTES: usize = 16 << 20;
 
-/// The answer to a write.
+/// The response to a write.
 #[derive(Deserialize)]
 struct Written {
     version: u64,
 }
 
-/// The answer to a read of many rows.
+/// The response to a read of several rows.
 #[derive(Deserialize)]
 struct Rows {
     rows: Vec<Row>,
@@ -33,19 +33,19 @@
 }
 
 impl Client {
-    /// A client that does exactly one exchange for each request.
+    /// A client that makes exactly one HTTP exchange for each operation.
     ///
     /// # Errors
     ///
-    /// If the HTTP client cannot be made.
+    /// If the HTTP client cannot be created.
     pub(super) fn new(table_url: &str, timeout_ms: u64) -> Result<Self, reqwest::Error> {
         let timeout = Duration::from_millis(timeout_ms);
         let http = reqwest::Client::builder()
             .no_proxy()
             .redirect(reqwest::redirect::Policy::none())
             .retry(reqwest::retry::never())
-            // A used connection may be closed by the other end just as it is used again, and the
-            // library repeats a request it believes unsent. Requests are rare; each has its own.
+            // The server may close an idle connection just as it is reused, and reqwest repeats a
+            // request that it believes unsent. Requests are rare, so each uses a new connection.
             .pool_max_idle_per_host(0)
             .connect_timeout(timeout)
             .timeout(timeout)
@@ -54,40 +54,40 @@
         Ok(Self { http, rows_url })
     }
 
-    /// Does one exchange.
+    /// Performs one exchange.
     ///
     /// # Errors
     ///
-    /// `NotApplied` if nothing was sent or the service refused it; `MayHaveBeenApplied` if a write
-    /// may have arrived.
+    /// `NotApplied` if nothing was sent, the service refused the request, or it was a read;
+    /// `MayHaveBeenApplied` if a write may have reached the service.
     pub(super) async fn exchange(
         &self,
         operation: &StoreOperation,
     ) -> Result<StoreOutcome, StoreError> {
-        let reads =
+        let is_read =
             matches!(operation, StoreOperation::ReadRows { .. } | StoreOperation::ReadRow { .. });
         let outcome = self.try_exchange(operation).await;
-        outcome.map_err(|error| if reads { StoreError::not_applied(error.cause) } else { error })
+        outcome.map_err(|error| if is_read { StoreError::not_applied(error.cause) } else { error })
     }
 
     async fn try_exchange(&self, operation: &StoreOperation) -> Result<StoreOutcome, StoreError> {
         let request = self.request(operation)?;
-        let response = request.send().await.map_err(|error| classify(&error))?;
+        let response = request.send().await.map_err(|error| transport_error(&error))?;
         let status = response.status();
-        let conditional =
+        let is_conditional =
             matches!(operation, StoreOperation::Put { .. } | StoreOperation::Delete { .. });
-        if status == StatusCode::PRECONDITION_FAILED && conditional {
+        if status == StatusCode::PRECONDITION_FAILED && is_conditional {
             let body = read_body(response).await?;
             return Ok(StoreOutcome::Conflict { present: serde_json::from_slice(&body).ok() });
         }
         if status == StatusCode::NOT_FOUND {
-            return missing(operation);
+            return not_found_outcome(operation);
         }
         if !status.is_success() {
-            return Err(refused(status));
+            return Err(status_error(status));
         }
         let body = read_body(response).await?;
-        understand(operation, &body)
+        parse_outcome(operation, &body)
     }
 
     fn request(&self, operation: &StoreOperation) -> Result<RequestBuilder, StoreError> {
@@ -96,13 +96,13 @@
             StoreOperation::ReadRows { prefix } => {
                 self.http.get(&self.rows_url).query(&[("prefix", prefix)])
             }
-            StoreOperation::ReadRow { key } => self.http.get(row_url(checked(key)?)),
+            StoreOperation::ReadRow { key } => self.http.get(row_url(validate_key(key)?)),
             StoreOperation::Put { key, value, condition } => {
-                let put = self.http.put(row_url(checked(key)?)).json(value);
+                let put = self.http.put(row_url(validate_key(key)?)).json(value);
                 with_condition(put, *condition)
             }
             StoreOperation::Delete { key, version } => {
-                let delete = self.http.request(Method::DELETE, row_url(checked(key)?));
+                let delete = self.http.request(Method::DELETE, row_url(validate_key(key)?));
                 with_condition(delete, version.map_or(Condition::Any, Condition::Version))
             }
             StoreOperation::ClaimKey { .. } => {
@@ -121,25 +121,25 @@
     }
 }
 
-/// Refuses keys that would change the meaning of the URL.
-fn checked(key: &str) -> Result<&str, StoreError> {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || b":._-".contains(&byte);
-    if key.is_empty() || key == "." || key == ".." || !key.bytes().all(plain) {
+/// Rejects keys that would change the meaning of the URL.
+fn validate_key(key: &str) -> Result<&str, StoreError> {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b":._-".contains(&byte);
+    if key.is_empty() || key == "." || key == ".." || !key.bytes().all(is_allowed) {
         return Err(StoreError::not_applied(format!("key {key:?} has characters not allowed")));
     }
     Ok(key)
 }
 
-/// A failure of the exchange itself.
-fn classify(error: &reqwest::Error) -> StoreError {
+/// Classifies a transport failure by whether the request may have been sent.
+fn transport_error(error: &reqwest::Error) -> StoreError {
     if error.is_connect() || error.is_builder() {
         return StoreError::not_applied(error.to_string());
     }
     StoreError::may_have_been_applied(error.to_string())
 }
 
-/// A status that is no success. A server error may come after the write took effect.
-fn refused(status: StatusCode) -> StoreError {
+/// The error for an unsuccessful status. A server error may follow a write that took effect.
+fn status_error(status: StatusCode) -> StoreError {
     let cause = format!("status {status}");
     if status.is_client_error() && status != StatusCode::REQUEST_TIMEOUT {
         return StoreError::not_applied(cause);
@@ -147,7 +147,8 @@
     StoreError::may_have_been_applied(cause)
 }
 
-fn missing(operation: &StoreOperation) -> Result<StoreOutcome, StoreError> {
+/// The outcome of status 404.
+fn not_found_outcome(operation: &StoreOperation) -> Result<StoreOutcome, StoreError> {
     match operation {
         StoreOperation::ReadRow { .. } => Ok(StoreOutcome::Row(None)),
         StoreOperation::ReadRows { .. } => Ok(StoreOutcome::Rows(Vec::new())),
@@ -158,11 +159,11 @@
     }
 }
 
-/// The whole body, if it is not too long.
+/// Reads the whole body, up to `RESPONSE_MAX_BYTES`.
 async fn read_body(mut response: Response) -> Result<Vec<u8>, StoreError> {
     let mut body = Vec::new();
-    while let Some(chunk) = response.chunk().await.map_err(|error| classify(&error))? {
-        if body.len() + chunk.len() > ANSWER_MAX_BYTES {
+    while let Some(chunk) = response.chunk().await.map_err(|error| transport_error(&error))? {
+        if body.len() + chunk.len() > RESPONSE_MAX_BYTES {
             return Err(StoreError::may_have_been_applied("answer too long"));
         }
         body.extend_from_slice(&chunk);
@@ -170,8 +171,8 @@
     Ok(body)
 }
 
-/// The outcome in a body of success.
-fn understand(operation: &StoreOperation, body: &[u8]) -> Result<StoreOutcome, StoreError> {
+/// Parses the body of a successful response.
+fn parse_outcome(operation: &StoreOperation, body: &[u8]) -> Result<StoreOutcome, StoreError> {
     let outcome = match operation {
         StoreOperation::ReadRows { .. } => {
             serde_json::from_slice(body).map(|Rows { rows }| StoreOutcome::Rows(rows))
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store's thread against the stand-in table and against servers that misbehave.
+//! Tests the store thread against the stand-in table service and against faulty servers.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -16,21 +16,21 @@
 use aspenspring::standin::platform::start_table;
 use serde_json::json;
 
-/// Longer than any exchange takes here; only a hung test reaches it.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Much longer than any exchange takes here; reached only by a hung test.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 
-struct Store {
+struct TestStore {
     handle: StoreHandle,
     events: mpsc::Receiver<StoreEvent>,
     next_id: u64,
 }
 
-impl Store {
+impl TestStore {
     fn start(url: &str) -> Self {
-        Self::with(StoreOptions::builder().table_url(url.to_owned()).seed(1).build())
+        Self::start_with(StoreOptions::builder().table_url(url.to_owned()).seed(1).build())
     }
 
-    fn with(options: StoreOptions) -> Self {
+    fn start_with(options: StoreOptions) -> Self {
         let (sender, events) = mpsc::channel();
         let sink = move |event| {
             let _receiver_gone = sender.send(event);
@@ -42,7 +42,7 @@
     fn run(&mut self, operation: StoreOperation) -> Result<StoreOutcome, Certainty> {
         self.next_id += 1;
         self.handle.try_submit(StoreRequest { id: self.next_id, operation }).unwrap();
-        let event = self.events.recv_timeout(PATIENCE).unwrap();
+        let event = self.events.recv_timeout(EVENT_TIMEOUT).unwrap();
         assert_eq!(event.id, self.next_id);
         event.outcome.map_err(|error| error.certainty)
     }
@@ -61,7 +61,7 @@
     start_table(any_port()).unwrap()
 }
 
-fn fault(server: &Server, mode: &str) {
+fn set_fault(server: &Server, mode: &str) {
     let url = format!("{}/fault", server.url());
     let body = json!({ "mode": mode });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -74,7 +74,7 @@
     Claim { owner: NodeId(owner), nonce: 7, minted_unix_ms: 9 }
 }
 
-fn claim_key(store: &mut Store, owner: u64) -> Result<StoreOutcome, Certainty> {
+fn claim_key(store: &mut TestStore, owner: u64) -> Result<StoreOutcome, Certainty> {
     let key = claim_row_key("orders", "order 17/a");
     store.run(StoreOperation::ClaimKey { key, claim: claim(owner) })
 }
@@ -82,7 +82,7 @@
 #[test]
 fn rows_are_written_read_compared_and_deleted() {
     let server = table();
-    let mut store = Store::start(&server.url());
+    let mut store = TestStore::start(&server.url());
     let StoreOutcome::Written { version } = store.put("member:a:1", 1, Condition::Absent) else {
         panic!("not written");
     };
@@ -106,12 +106,12 @@
 #[test]
 fn a_write_whose_answer_is_lost_may_have_been_applied() {
     let server = table();
-    let mut store = Store::start(&server.url());
-    fault(&server, "lose_answers");
+    let mut store = TestStore::start(&server.url());
+    set_fault(&server, "lose_answers");
     let put =
         StoreOperation::Put { key: "a".to_owned(), value: json!(1), condition: Condition::Absent };
     assert_eq!(store.run(put), Err(Certainty::MayHaveBeenApplied));
-    fault(&server, "up");
+    set_fault(&server, "up");
     let read = store.run(StoreOperation::ReadRow { key: "a".to_owned() }).unwrap();
     assert!(matches!(read, StoreOutcome::Row(Some(row)) if row.value == 1));
 }
@@ -121,7 +121,7 @@
     let listener = TcpListener::bind(any_port()).unwrap();
     let url = format!("http://{}", listener.local_addr().unwrap());
     drop(listener);
-    let mut store = Store::start(&url);
+    let mut store = TestStore::start(&url);
     let delete = StoreOperation::Delete { key: "a".to_owned(), version: None };
     assert_eq!(store.run(delete), Err(Certainty::NotApplied));
 }
@@ -129,7 +129,7 @@
 #[test]
 fn a_claim_is_made_once_and_shown_to_everybody_else() {
     let server = table();
-    let mut store = Store::start(&server.url());
+    let mut store = TestStore::start(&server.url());
     assert_eq!(claim_key(&mut store, 1), Ok(StoreOutcome::Claimed(claim(1))));
     assert_eq!(claim_key(&mut store, 2), Ok(StoreOutcome::Claimed(claim(1))));
 }
@@ -137,8 +137,8 @@
 #[test]
 fn a_claim_whose_answer_is_lost_is_settled_by_reading_back() {
     let server = table();
-    let mut store = Store::start(&server.url());
-    fault(&server, "lose_answers");
+    let mut store = TestStore::start(&server.url());
+    set_fault(&server, "lose_answers");
     assert_eq!(claim_key(&mut store, 1), Ok(StoreOutcome::Claimed(claim(1))));
     assert_eq!(claim_key(&mut store, 2), Ok(StoreOutcome::Claimed(claim(1))));
 }
@@ -146,8 +146,8 @@
 #[test]
 fn a_claim_with_the_store_away_stays_unsettled() {
     let server = table();
-    let mut store = Store::start(&server.url());
-    fault(&server, "down");
+    let mut store = TestStore::start(&server.url());
+    set_fault(&server, "down");
     assert!(claim_key(&mut store, 1).is_err());
 }
 
@@ -163,22 +163,22 @@
 #[test]
 fn keys_that_change_the_url_are_refused_unsent() {
     let server = table();
-    let mut store = Store::start(&server.url());
+    let mut store = TestStore::start(&server.url());
     for key in ["", ".", "..", "a/b", "a?b", "a b", "ü"] {
         let read = StoreOperation::ReadRow { key: key.to_owned() };
         assert_eq!(store.run(read), Err(Certainty::NotApplied), "{key}");
     }
 }
 
-/// A server that counts connections and answers each with the same bytes, or with nothing and
-/// silence.
-fn misbehaving(answer: Option<&'static [u8]>) -> (String, Arc<AtomicUsize>) {
+/// Starts a server that counts connections and sends each the same bytes, or with `None` never
+/// responds.
+fn start_faulty_server(answer: Option<&'static [u8]>) -> (String, Arc<AtomicUsize>) {
     let listener = TcpListener::bind(any_port()).unwrap();
     let url = format!("http://{}", listener.local_addr().unwrap());
     let connections = Arc::new(AtomicUsize::new(0));
     let counter = connections.clone();
     std::thread::spawn(move || {
-        let mut silent: Vec<TcpStream> = Vec::new();
+        let mut unanswered: Vec<TcpStream> = Vec::new();
         for stream in listener.incoming() {
             let Ok(mut stream) = stream else { continue };
             counter.fetch_add(1, Ordering::SeqCst);
@@ -188,18 +188,20 @@
                 Some(bytes) => {
                     let _peer_gone = stream.write_all(bytes);
                 }
-                None => silent.push(stream),
+                None => unanswered.push(stream),
             }
         }
     });
     (url, connections)
 }
 
-/// What a write comes to at a server that answers so, and how often it was sent.
-fn write_at(answer: Option<&'static [u8]>) -> (Result<StoreOutcome, Certainty>, usize) {
-    let (url, connections) = misbehaving(answer);
+/// The outcome of a write to a server that sends `answer`, and how often the write was sent.
+fn write_to_faulty_server(
+    answer: Option<&'static [u8]>,
+) -> (Result<StoreOutcome, Certainty>, usize) {
+    let (url, connections) = start_faulty_server(answer);
     let options = StoreOptions::builder().table_url(url).seed(1).timeout_ms(300).build();
-    let mut store = Store::with(options);
+    let mut store = TestStore::start_with(options);
     let put =
         StoreOperation::Put { key: "a".to_owned(), value: json!(1), condition: Condition::Any };
     let outcome = store.run(put);
@@ -208,7 +210,7 @@
 
 #[test]
 fn no_failure_of_a_write_makes_it_sent_twice() {
-    let doubtful: [Option<&'static [u8]>; 7] = [
+    let ambiguous_responses: [Option<&'static [u8]>; 7] = [
         None,
         Some(b""),
         Some(b"HTTP/1.1 20"),
@@ -217,38 +219,42 @@
         Some(b"HTTP/1.1 500 No\r\ncontent-length: 0\r\n\r\n"),
         Some(b"HTTP/1.1 503 No\r\nretry-after: 0\r\ncontent-length: 0\r\n\r\n"),
     ];
-    for answer in doubtful {
-        assert_eq!(write_at(answer), (Err(Certainty::MayHaveBeenApplied), 1), "{answer:?}");
+    for answer in ambiguous_responses {
+        assert_eq!(
+            write_to_faulty_server(answer),
+            (Err(Certainty::MayHaveBeenApplied), 1),
+            "{answer:?}"
+        );
     }
 }
 
 #[test]
 fn a_refused_write_and_a_redirect_are_not_followed_up() {
     let refused = b"HTTP/1.1 429 No\r\ncontent-length: 0\r\n\r\n";
-    assert_eq!(write_at(Some(refused)), (Err(Certainty::NotApplied), 1));
-    let moved = b"HTTP/1.1 307 Go\r\nlocation: /elsewhere\r\ncontent-length: 0\r\n\r\n";
-    assert_eq!(write_at(Some(moved)), (Err(Certainty::MayHaveBeenApplied), 1));
+    assert_eq!(write_to_faulty_server(Some(refused)), (Err(Certainty::NotApplied), 1));
+    let redirect = b"HTTP/1.1 307 Go\r\nlocation: /elsewhere\r\ncontent-length: 0\r\n\r\n";
+    assert_eq!(write_to_faulty_server(Some(redirect)), (Err(Certainty::MayHaveBeenApplied), 1));
 }
 
 #[test]
 fn after_failures_the_store_is_left_alone_and_tried_again_later() {
     let server = table();
     let options = StoreOptions::builder().table_url(server.url()).seed(1).pause_max_ms(200);
-    let mut store = Store::with(options.build());
-    fault(&server, "down");
+    let mut store = TestStore::start_with(options.build());
+    set_fault(&server, "down");
     let read = || StoreOperation::ReadRow { key: "a".to_owned() };
     for _ in 0..20 {
         assert_eq!(store.run(read()), Err(Certainty::NotApplied));
     }
-    assert!(reads_at(&server) < 10, "{} reads", reads_at(&server));
-    fault(&server, "up");
+    assert!(read_count(&server) < 10, "{} reads", read_count(&server));
+    set_fault(&server, "up");
     while store.run(read()).is_err() {
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// How many requests to read have come to the stand-in.
-fn reads_at(server: &Server) -> u64 {
+/// How many reads the stand-in table service has received.
+fn read_count(server: &Server) -> u64 {
     let url = format!("{}/stats", server.url());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
@@ -259,9 +265,9 @@
 
 #[test]
 fn a_full_ring_refuses_at_once() {
-    let (url, _connections) = misbehaving(None);
+    let (url, _connections) = start_faulty_server(None);
     let options = StoreOptions::builder().table_url(url).seed(1).ring_entries(2).concurrency(1);
-    let store = Store::with(options.timeout_ms(500).build());
+    let store = TestStore::start_with(options.timeout_ms(500).build());
     let request =
         || StoreRequest { id: 1, operation: StoreOperation::ReadRow { key: "a".to_owned() } };
     let refused = (0..10).filter(|_| store.handle.try_submit(request()).is_err()).count();
