--- a/src/duty/operator.rs
+++ b/src/duty/operator.rs
@@ -1,7 +1,7 @@
-//! The operators' listener: health, metrics, state, configurations, leaving.
+//! The operator HTTP API: health, metrics, node status, configuration and graceful shutdown.
 //!
-//! It owns no state of the node. Every question goes through a bounded ring to the thread that
-//! does; a full ring is answered with 503 at once.
+//! It holds no node state. Requests go through a bounded ring buffer to the thread that owns the
+//! state; when the buffer is full, the response is 503 at once.
 
 mod key;
 mod reply;
@@ -26,38 +26,38 @@
     ConfigEntry, ConfigView, Health, LeaveReply, OperatorRequest, Submission, SubmitReply,
 };
 
-/// How often recorded latencies are folded into buckets.
-const METRICS_UPKEEP_EVERY: Duration = Duration::from_secs(5);
+/// How often recorded latencies are aggregated into histogram buckets.
+const METRICS_UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Puts a request into the ring, or returns it where the ring is full.
-pub type OfferRequest = Arc<dyn Fn(OperatorRequest) -> Result<(), OperatorRequest> + Send + Sync>;
+/// Puts a request into the ring buffer, or returns it if the buffer is full.
+pub type TrySendRequest = Arc<dyn Fn(OperatorRequest) -> Result<(), OperatorRequest> + Send + Sync>;
 
-/// How the operators' listener is set up.
+/// Options of the operator API.
 #[derive(Builder, Clone)]
 pub struct OperatorOptions {
     /// The address to listen on.
     pub address: SocketAddr,
-    /// The operators' key; without one only `GET /health` is answered.
+    /// The operator key; without one only `GET /health` is served.
     pub key: Option<OperatorKey>,
-    /// The environment variable the key was looked for in; for the log only.
+    /// The environment variable that should hold the key; used only for logging.
     #[builder(into)]
     pub key_variable: String,
-    /// The ring to the thread that owns the node's state.
-    pub requests: OfferRequest,
+    /// Sends to the thread that owns the node's state.
+    pub requests: TrySendRequest,
     /// The node's metrics.
     pub metrics: Metrics,
-    /// The node's log.
+    /// The node's event log.
     pub events: EventLog,
-    /// The longest document of a configuration, in bytes.
+    /// The longest configuration document, in bytes.
     #[builder(default = 1 << 20)]
     pub body_max_bytes: usize,
-    /// How long a sender may take for its request, in milliseconds.
+    /// Time limit for reading a request, in milliseconds.
     #[builder(default = 5_000)]
     pub read_timeout_ms: u64,
-    /// How long the node may take to reply, in milliseconds.
+    /// Time limit for the node's reply, in milliseconds.
     #[builder(default = 2_000)]
     pub reply_timeout_ms: u64,
-    /// How long the node may take to have a configuration accepted, in milliseconds.
+    /// Time limit for the reply to a configuration submission, in milliseconds.
     #[builder(default = 25_000)]
     pub submit_timeout_ms: u64,
 }
@@ -68,11 +68,11 @@
     }
 }
 
-/// Starts the operators' listener.
+/// Starts the operator API.
 ///
 /// # Errors
 ///
-/// An address that cannot be bound, or a thread that cannot be started.
+/// If the address cannot be bound or a thread cannot be started.
 pub fn start(options: OperatorOptions) -> Result<WebServer, WebError> {
     if options.key.is_none() {
         let variable = options.key_variable.clone();
@@ -97,67 +97,67 @@
         submit_timeout_ms: options.submit_timeout_ms,
     };
     WebServer::start(&web, |rocket| {
-        rocket.mount("/", routes::all()).manage(state).attach(keep_metrics(metrics))
+        rocket.mount("/", routes::all()).manage(state).attach(metrics_upkeep(metrics))
     })
 }
 
-/// What the routes share.
+/// State shared by the routes.
 pub(super) struct OperatorState {
     key: Option<OperatorKey>,
-    requests: OfferRequest,
+    requests: TrySendRequest,
     metrics: Metrics,
     events: EventLog,
-    /// The last reply about health, which keeps those without a key from loading the node.
-    health: tokio::sync::Mutex<Option<(tokio::time::Instant, Result<Health, NoReply>)>>,
+    /// The cached health reply; it limits the load from unauthenticated requests.
+    health: tokio::sync::Mutex<Option<(tokio::time::Instant, Result<Health, AskError>)>>,
     body_max_bytes: usize,
     read_timeout_ms: u64,
     reply_timeout_ms: u64,
     submit_timeout_ms: u64,
 }
 
-/// Why the node did not reply to an operator.
+/// Why a request got no reply from the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum NoReply {
-    /// The ring was full, or nobody takes from it: the request was not taken in.
-    NotTaken,
-    /// The request was taken in, and nothing came back.
-    Silent,
+enum AskError {
+    /// The ring buffer was full or closed; the request was not queued.
+    RingFull,
+    /// The request was queued, but no reply came.
+    NoReply,
 }
 
 impl OperatorState {
-    /// Asks the node and waits for its reply.
+    /// Sends a request to the node and waits for its reply.
     async fn ask<T>(
         &self,
         timeout_ms: u64,
-        make: impl FnOnce(oneshot::Sender<T>) -> OperatorRequest,
-    ) -> Result<T, NoReply> {
-        let (reply, replied) = oneshot::channel();
-        (self.requests)(make(reply)).map_err(|_| NoReply::NotTaken)?;
-        let waiting = tokio::time::timeout(Duration::from_millis(timeout_ms), replied);
+        make_request: impl FnOnce(oneshot::Sender<T>) -> OperatorRequest,
+    ) -> Result<T, AskError> {
+        let (reply, receiver) = oneshot::channel();
+        (self.requests)(make_request(reply)).map_err(|_| AskError::RingFull)?;
+        let waiting = tokio::time::timeout(Duration::from_millis(timeout_ms), receiver);
         let Ok(Ok(reply)) = waiting.await else {
-            return Err(NoReply::Silent);
+            return Err(AskError::NoReply);
         };
         Ok(reply)
     }
 }
 
-impl From<NoReply> for Problem {
-    fn from(no_reply: NoReply) -> Self {
-        let detail = match no_reply {
-            NoReply::NotTaken => "the node's ring is full",
-            NoReply::Silent => "the node did not reply in time",
+impl From<AskError> for Problem {
+    fn from(error: AskError) -> Self {
+        let detail = match error {
+            AskError::RingFull => "the node's ring is full",
+            AskError::NoReply => "the node did not reply in time",
         };
         Problem::new(503, "Node is busy").detail(detail).retry_after_ms(1_000)
     }
 }
 
-/// Folds recorded latencies into buckets while the listener runs.
-fn keep_metrics(metrics: Metrics) -> AdHoc {
-    AdHoc::on_liftoff("keep metrics", move |rocket| {
+/// Aggregates recorded latencies into histogram buckets while the server runs.
+fn metrics_upkeep(metrics: Metrics) -> AdHoc {
+    AdHoc::on_liftoff("metrics upkeep", move |rocket| {
         let shutdown = rocket.shutdown();
         tokio::spawn(async move {
             tokio::pin!(shutdown);
-            while tokio::time::timeout(METRICS_UPKEEP_EVERY, &mut shutdown).await.is_err() {
+            while tokio::time::timeout(METRICS_UPKEEP_INTERVAL, &mut shutdown).await.is_err() {
                 metrics.run_upkeep();
             }
         });
--- a/src/duty/operator/key.rs
+++ b/src/duty/operator/key.rs
@@ -1,4 +1,4 @@
-//! The operators' key, and the check of every request for it.
+//! The operator key and the request guard that checks it.
 
 use std::fmt;
 
@@ -8,27 +8,27 @@
 use super::OperatorState;
 use crate::event::LogEvent;
 
-/// The scheme of the `Authorization` header.
-const SCHEME: &str = "bearer";
+/// The expected scheme of the `Authorization` header.
+const AUTH_SCHEME: &str = "bearer";
 
-/// The operators' key. Neither `Debug` nor any other output shows it.
+/// The secret key of the operators. `Debug` and all other output omit it.
 #[derive(Clone)]
 pub struct OperatorKey(String);
 
 impl OperatorKey {
-    /// The key in the environment variable `variable`; none where it is unset or empty.
+    /// Reads the key from the environment variable `variable`; `None` if it is unset or empty.
     pub fn from_env(variable: &str) -> Option<Self> {
         std::env::var(variable).ok().and_then(|key| Self::new(&key))
     }
 
-    /// The key `key`, without white space around it; none where nothing is left.
+    /// Trims white space around `key`; `None` if nothing is left.
     pub fn new(key: &str) -> Option<Self> {
         let key = key.trim();
         (!key.is_empty()).then(|| Self(key.to_owned()))
     }
 
-    /// Whether `presented` is the key. Takes the same time for every text of the same length.
-    fn is(&self, presented: &str) -> bool {
+    /// Whether `presented` is the key. The time taken depends only on the length of `presented`.
+    fn matches(&self, presented: &str) -> bool {
         let (key, presented) = (self.0.as_bytes(), presented.as_bytes());
         let mut difference = key.len() ^ presented.len();
         for (index, byte) in presented.iter().enumerate() {
@@ -44,7 +44,7 @@
     }
 }
 
-/// Proof that a request carried the operators' key.
+/// Request guard: proof that a request carried the operator key.
 #[derive(Clone, Copy, Debug)]
 pub struct Operator(());
 
@@ -60,7 +60,7 @@
             return refuse(state, request, Status::Forbidden);
         };
         let presented = request.headers().get_one("authorization").and_then(bearer_token);
-        if !presented.is_some_and(|presented| key.is(presented)) {
+        if !presented.is_some_and(|presented| key.matches(presented)) {
             return refuse(state, request, Status::Unauthorized);
         }
         Outcome::Success(Self(()))
@@ -70,9 +70,10 @@
 /// The token of an `Authorization: Bearer` header.
 fn bearer_token(header: &str) -> Option<&str> {
     let (scheme, token) = header.split_once(' ')?;
-    scheme.eq_ignore_ascii_case(SCHEME).then(|| token.trim())
+    scheme.eq_ignore_ascii_case(AUTH_SCHEME).then(|| token.trim())
 }
 
+/// Logs the refused request and fails the guard with `status`.
 fn refuse(state: &OperatorState, request: &Request<'_>, status: Status) -> Outcome<Operator, ()> {
     let remote = request.remote().map_or_else(String::new, |remote| remote.ip().to_string());
     state.events.emit(&LogEvent::OperatorRefused { remote });
--- a/src/duty/operator/reply.rs
+++ b/src/duty/operator/reply.rs
@@ -1,4 +1,4 @@
-//! How the node's replies look over HTTP.
+//! Converts the node's replies to HTTP responses.
 
 use rocket::http::{ContentType, Header, Status};
 use rocket::request::Request;
@@ -9,7 +9,7 @@
 use super::SubmitReply;
 use crate::duty::web::Problem;
 
-/// A JSON document, with the version of the configuration it shows as its entity tag.
+/// A JSON response; if it shows a configuration, the version is its entity tag.
 #[derive(Debug)]
 pub(super) struct Document {
     body: Vec<u8>,
@@ -17,14 +17,14 @@
 }
 
 impl Document {
-    /// A document without a version.
+    /// A document without an entity tag.
     pub(super) fn new(value: &impl Serialize) -> Result<Self, Problem> {
         let body = serde_json::to_vec(value)
             .map_err(|error| Problem::new(500, "Cannot be shown").detail(error.to_string()))?;
         Ok(Self { body, etag: None })
     }
 
-    /// A document that shows the configuration of this version.
+    /// A document that shows configuration `version`.
     pub(super) fn of_version(value: &impl Serialize, version: u64) -> Result<Self, Problem> {
         Ok(Self { etag: Some(format!("\"{version}\"")), ..Self::new(value)? })
     }
@@ -41,8 +41,8 @@
     }
 }
 
-/// The HTTP answer to a submission.
-pub(super) fn submitted(reply: SubmitReply) -> Result<Document, Problem> {
+/// The HTTP response to a submission.
+pub(super) fn submit_response(reply: SubmitReply) -> Result<Document, Problem> {
     match reply {
         SubmitReply::Accepted { version } => {
             Document::of_version(&json!({ "outcome": "accepted", "version": version }), version)
@@ -59,7 +59,7 @@
     }
 }
 
-/// The submission certainly is not in force and will not be.
+/// The submission was not accepted and will not be.
 pub(super) fn not_accepted(cause: &str) -> Problem {
     Problem::new(503, "Configuration was not accepted")
         .detail(cause)
@@ -67,7 +67,7 @@
         .retry_after_ms(1_000)
 }
 
-/// Nobody can say whether the submission is accepted, or will be.
+/// It is unknown whether the submission was or will be accepted.
 pub(super) fn unknown(cause: &str) -> Problem {
     Problem::new(503, "Configuration may have been accepted")
         .detail(format!("{cause}; read the configuration in force before submitting again"))
--- a/src/duty/operator/request.rs
+++ b/src/duty/operator/request.rs
@@ -1,105 +1,105 @@
-//! What operators ask the node for, and what it replies.
+//! Operator requests to the node and its replies.
 
 use serde::Serialize;
 use serde_json::Value;
 use tokio::sync::oneshot;
 
-/// A request of an operator, on its way to the thread that owns the node's state.
+/// A request to the thread that owns the node's state.
 #[derive(Debug)]
 pub enum OperatorRequest {
-    /// Whether the node serves. Also asked by whoever has no key.
+    /// Whether the node serves requests. Needs no key.
     Health {
         /// Where the reply goes.
         reply: oneshot::Sender<Health>,
     },
-    /// The node's state: targets, limits, floors, members, version of the configuration.
+    /// The node's status: targets, limits, floors, members, configuration version.
     Status {
         /// Where the reply goes.
         reply: oneshot::Sender<Value>,
     },
     /// An accepted configuration.
     Config {
-        /// The version, or the one in force where absent.
+        /// The version; `None` for the one in force.
         version: Option<u64>,
-        /// Where the reply goes; none where the version is not known here.
+        /// Where the reply goes; `None` if this node does not hold the version.
         reply: oneshot::Sender<Option<ConfigView>>,
     },
-    /// A configuration that is to be accepted.
+    /// Submits a configuration.
     Submit {
         /// The configuration.
         submission: Submission,
         /// Where the reply goes.
         reply: oneshot::Sender<SubmitReply>,
     },
-    /// The node is to leave.
+    /// Starts a graceful shutdown of the node.
     Leave {
         /// Where the reply goes.
         reply: oneshot::Sender<LeaveReply>,
     },
 }
 
-/// Whether the node serves.
+/// Whether the node serves requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Health {
-    /// Whether it takes calls: it knows its configuration and has a target.
+    /// Whether it accepts calls: it has a configuration and a target.
     pub ready: bool,
-    /// Whether it takes no new work for good.
+    /// Whether it is shutting down and accepts no new work.
     pub leaving: bool,
 }
 
 /// An accepted configuration.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ConfigView {
-    /// Its version; 0 for the settings of the start.
+    /// Its version; 0 for the settings the node was started with.
     pub version: u64,
-    /// Who submitted it, where anybody did.
+    /// Who submitted it; `None` if nobody did.
     pub by: Option<String>,
-    /// When, in milliseconds since the Unix epoch.
+    /// When it was accepted, in milliseconds since the Unix epoch.
     pub at_unix_ms: Option<u64>,
     /// The document.
     pub document: Value,
-    /// Earlier acceptances, the latest first.
+    /// Earlier accepted configurations, newest first.
     pub history: Vec<ConfigEntry>,
 }
 
-/// One acceptance of a configuration, without its document.
+/// An accepted configuration without its document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ConfigEntry {
-    /// The version that was accepted.
+    /// The accepted version.
     pub version: u64,
     /// Who submitted it.
     pub by: String,
-    /// When, in milliseconds since the Unix epoch.
+    /// When it was accepted, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
 }
 
-/// A configuration that is to be accepted.
+/// A submitted configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Submission {
     /// The version the change is based on.
     pub expected_version: u64,
-    /// Who submits it, as they say.
+    /// The name given by the submitter; not verified.
     pub by: String,
-    /// The document: JSON text.
+    /// The document as JSON text.
     pub document: String,
 }
 
-/// What became of a submission.
+/// The outcome of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmitReply {
-    /// It is accepted.
+    /// It was accepted.
     Accepted {
         /// Its version.
         version: u64,
     },
-    /// Something else was accepted since the version it is based on.
+    /// Another configuration was accepted since the version it is based on.
     Conflict {
-        /// What it lost to; none where the version it is based on was never accepted.
+        /// The configuration accepted instead; `None` if the base version was never accepted.
         lost_to: Option<ConfigEntry>,
     },
-    /// It makes no valid settings.
+    /// It is not a valid configuration.
     Invalid {
-        /// Every problem it has.
+        /// All problems found.
         problems: Vec<String>,
     },
     /// It was not accepted and will not be.
@@ -107,16 +107,16 @@
         /// Why.
         cause: String,
     },
-    /// It may have been accepted, now or later.
+    /// It may have been accepted, or may still be.
     Unknown {
-        /// Why nobody can say.
+        /// Why the outcome is unknown.
         cause: String,
     },
 }
 
-/// The node has begun to leave, or had begun already.
+/// The graceful shutdown has started, now or earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct LeaveReply {
-    /// Calls running or waiting at this moment.
+    /// Calls currently running or queued.
     pub in_flight: u64,
 }
--- a/src/duty/operator/routes.rs
+++ b/src/duty/operator/routes.rs
@@ -1,4 +1,4 @@
-//! The routes of the operators' listener.
+//! Routes of the operator API.
 
 use std::time::Duration;
 
@@ -10,17 +10,17 @@
 
 use super::key::Operator;
 use super::reply::{self, Document};
-use super::{NoReply, OperatorRequest, OperatorState, Submission};
+use super::{AskError, OperatorRequest, OperatorState, Submission};
 use crate::duty::web::{Problem, read_body};
 
-/// How long a reply about health is good.
-const HEALTH_GOOD_FOR: Duration = Duration::from_secs(1);
-/// The header that says who submits a configuration.
-const BY_HEADER: &str = "aspenspring-by";
-/// The longest name of whoever submits a configuration, in characters.
-const BY_MAX_CHARS: usize = 64;
-/// The content type of the metrics (Prometheus text format).
-const METRICS_TYPE: (&str, &str) = ("text", "plain");
+/// How long a health reply is cached.
+const HEALTH_CACHE_TTL: Duration = Duration::from_secs(1);
+/// The header that names the submitter of a configuration.
+const SUBMITTER_HEADER: &str = "aspenspring-by";
+/// The longest submitter name, in characters; longer ones are cut off.
+const SUBMITTER_MAX_CHARS: usize = 64;
+/// The content type of the Prometheus text format.
+const METRICS_CONTENT_TYPE: (&str, &str) = ("text", "plain");
 
 /// All routes.
 pub(super) fn all() -> Vec<Route> {
@@ -41,37 +41,38 @@
         let headers = request.headers();
         let tag = headers.get_one("if-match").map(|tag| tag.trim().trim_matches('"'));
         let expected_version = tag.and_then(|tag| tag.parse().ok());
-        let by = headers.get_one(BY_HEADER).unwrap_or("operator");
-        let by = by.chars().filter(|letter| !letter.is_control()).take(BY_MAX_CHARS).collect();
+        let by = headers.get_one(SUBMITTER_HEADER).unwrap_or("operator");
+        let by =
+            by.chars().filter(|letter| !letter.is_control()).take(SUBMITTER_MAX_CHARS).collect();
         Outcome::Success(Self { expected_version, by })
     }
 }
 
 #[get("/health")]
 async fn health(state: &State<OperatorState>) -> Result<Document, Problem> {
-    let mut known = state.health.lock().await;
-    let fresh = known.filter(|(at, _)| at.elapsed() < HEALTH_GOOD_FOR);
-    let replied = match fresh {
-        Some((_, replied)) => replied,
+    let mut cached = state.health.lock().await;
+    let fresh = cached.filter(|(at, _)| at.elapsed() < HEALTH_CACHE_TTL);
+    let reply = match fresh {
+        Some((_, reply)) => reply,
         None => state.ask(state.reply_timeout_ms, |reply| OperatorRequest::Health { reply }).await,
     };
     if fresh.is_none() {
-        *known = Some((Instant::now(), replied));
+        *cached = Some((Instant::now(), reply));
     }
-    Document::new(&replied?)
+    Document::new(&reply?)
 }
 
 #[get("/metrics")]
 fn metrics(_operator: Operator, state: &State<OperatorState>) -> (ContentType, String) {
-    let (top, sub) = METRICS_TYPE;
+    let (top, sub) = METRICS_CONTENT_TYPE;
     let content_type = ContentType::new(top, sub).with_params(("version", "0.0.4"));
     (content_type, state.metrics.render())
 }
 
 #[get("/status")]
 async fn status(_operator: Operator, state: &State<OperatorState>) -> Result<Document, Problem> {
-    let asked = state.ask(state.reply_timeout_ms, |reply| OperatorRequest::Status { reply }).await;
-    Document::new(&asked?)
+    let reply = state.ask(state.reply_timeout_ms, |reply| OperatorRequest::Status { reply }).await;
+    Document::new(&reply?)
 }
 
 #[get("/config")]
@@ -88,9 +89,10 @@
     show_config(state, Some(version)).await
 }
 
+/// The accepted configuration of `version`, or the one in force.
 async fn show_config(state: &OperatorState, version: Option<u64>) -> Result<Document, Problem> {
-    let make = |reply| OperatorRequest::Config { version, reply };
-    let Some(config) = state.ask(state.reply_timeout_ms, make).await? else {
+    let make_request = |reply| OperatorRequest::Config { version, reply };
+    let Some(config) = state.ask(state.reply_timeout_ms, make_request).await? else {
         return Err(Problem::new(404, "Configuration is not known")
             .detail("the node holds the one in force and the list of the ones before it"));
     };
@@ -112,15 +114,15 @@
     let body = read_body(data, state.body_max_bytes, state.read_timeout_ms).await?;
     let document = parse_document(&body)?;
     let submission = Submission { expected_version, by: headers.by, document };
-    let make = |reply| OperatorRequest::Submit { submission, reply };
-    match state.ask(state.submit_timeout_ms, make).await {
-        Ok(replied) => reply::submitted(replied),
-        Err(NoReply::NotTaken) => Err(reply::not_accepted("the node's ring is full")),
-        Err(NoReply::Silent) => Err(reply::unknown("the node did not reply in time")),
+    let make_request = |reply| OperatorRequest::Submit { submission, reply };
+    match state.ask(state.submit_timeout_ms, make_request).await {
+        Ok(outcome) => reply::submit_response(outcome),
+        Err(AskError::RingFull) => Err(reply::not_accepted("the node's ring is full")),
+        Err(AskError::NoReply) => Err(reply::unknown("the node did not reply in time")),
     }
 }
 
-/// The text of a document, which must be a JSON object.
+/// Checks that the body is a JSON object and returns its text.
 fn parse_document(body: &[u8]) -> Result<String, Problem> {
     let invalid = |problem: String| {
         Problem::new(422, "Configuration is invalid")
@@ -137,6 +139,6 @@
 
 #[post("/leave")]
 async fn leave(_operator: Operator, state: &State<OperatorState>) -> Result<Document, Problem> {
-    let asked = state.ask(state.reply_timeout_ms, |reply| OperatorRequest::Leave { reply }).await;
-    Document::new(&asked?)
+    let reply = state.ask(state.reply_timeout_ms, |reply| OperatorRequest::Leave { reply }).await;
+    Document::new(&reply?)
 }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: the key, the routes, a full ring, a silent node.
+//! Tests the operator API: the key, the routes, a full ring buffer, a node that does not reply.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -21,9 +21,9 @@
 const KEY: &str = "0perators-0wn-key";
 
 #[derive(Clone, Default)]
-struct Output(Arc<Mutex<Vec<u8>>>);
+struct LogOutput(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Output {
+impl Write for LogOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -34,18 +34,18 @@
     }
 }
 
-/// A listener, and the ring its requests arrive in.
-struct Site {
+/// A running operator API and the ring buffer that receives its requests.
+struct TestServer {
     server: WebServer,
     address: SocketAddr,
     ring: Receiver<OperatorRequest>,
     logging: Logging,
-    output: Output,
+    output: LogOutput,
     client: Client,
 }
 
-fn start(key: Option<&str>, ring_entries: usize) -> Site {
-    let output = Output::default();
+fn start(key: Option<&str>, ring_entries: usize) -> TestServer {
+    let output = LogOutput::default();
     let settings = TelemetrySettings { log_level: "debug".to_owned(), ..Default::default() };
     let logging = Logging::start(&settings, output.clone()).unwrap();
     let (sender, ring) = bounded(ring_entries);
@@ -66,31 +66,31 @@
     let server = operator::start(options).unwrap();
     let address = server.address();
     let client = Client::builder().no_proxy().build().unwrap();
-    Site { server, address, ring, logging, output, client }
+    TestServer { server, address, ring, logging, output, client }
 }
 
-/// What came back: status, entity tag and JSON body.
+/// A response: status, entity tag and JSON body.
 #[derive(Debug)]
-struct Answer {
+struct Response {
     status: StatusCode,
     etag: Option<String>,
     text: String,
 }
 
-impl Answer {
+impl Response {
     fn json(&self) -> Value {
         serde_json::from_str(&self.text).unwrap()
     }
 }
 
-impl Site {
+impl TestServer {
     async fn send(
         &self,
         method: Method,
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Answer {
+    ) -> Response {
         let mut request = self.client.request(method, format!("http://{}{path}", self.address));
         for (name, value) in headers {
             request = request.header(*name, *value);
@@ -98,20 +98,20 @@
         let answer = request.body(body.to_owned()).send().await.unwrap();
         let status = answer.status();
         let etag = answer.headers().get("etag").map(|tag| tag.to_str().unwrap().to_owned());
-        Answer { status, etag, text: answer.text().await.unwrap() }
+        Response { status, etag, text: answer.text().await.unwrap() }
     }
 
-    async fn get(&self, path: &str) -> Answer {
+    async fn get(&self, path: &str) -> Response {
         self.send(Method::GET, path, &[("authorization", &format!("Bearer {KEY}"))], "").await
     }
 
-    async fn put_config(&self, tag: &str, body: &str) -> Answer {
+    async fn put_config(&self, tag: &str, body: &str) -> Response {
         let bearer = format!("bearer {KEY}");
         let headers = [("authorization", bearer.as_str()), ("if-match", tag)];
         self.send(Method::PUT, "/config", &headers, body).await
     }
 
-    /// Lets a thread reply to every request with `reply`.
+    /// Starts a thread that passes every request to `reply`.
     fn serve(&self, reply: impl Fn(OperatorRequest) + Send + 'static) {
         let ring = self.ring.clone();
         std::thread::spawn(move || {
@@ -121,7 +121,7 @@
         });
     }
 
-    /// Stops the listener and returns everything that was logged.
+    /// Stops the server and returns everything that was logged.
     fn stop(self) -> String {
         self.server.stop().unwrap();
         drop(self.logging);
@@ -129,7 +129,7 @@
     }
 }
 
-fn serve_all(request: OperatorRequest) {
+fn reply_to_all(request: OperatorRequest) {
     let entry = ConfigEntry { version: 4, by: "ana".to_owned(), at_unix_ms: 9 };
     match request {
         OperatorRequest::Health { reply } => {
@@ -160,7 +160,7 @@
     }
 }
 
-const GUARDED: [(Method, &str); 6] = [
+const GUARDED_ROUTES: [(Method, &str); 6] = [
     (Method::GET, "/metrics"),
     (Method::GET, "/status"),
     (Method::GET, "/config"),
@@ -171,112 +171,116 @@
 
 #[tokio::test]
 async fn whoever_lacks_the_key_is_refused() {
-    let site = start(Some(KEY), 8);
-    site.serve(serve_all);
+    let server = start(Some(KEY), 8);
+    server.serve(reply_to_all);
     let longer = format!("Bearer {KEY}{KEY}");
     let shorter = format!("Bearer {}", &KEY[1..]);
     let other_scheme = format!("Basic {KEY}");
-    for (method, path) in GUARDED {
-        let none = site.send(method.clone(), path, &[], "{}").await;
+    for (method, path) in GUARDED_ROUTES {
+        let none = server.send(method.clone(), path, &[], "{}").await;
         assert_eq!(none.status, StatusCode::UNAUTHORIZED, "{path}");
         for wrong in [longer.as_str(), &shorter, &other_scheme, "Bearer ", "Bearer"] {
             let headers = [("authorization", wrong), ("if-match", "\"5\"")];
-            let refused = site.send(method.clone(), path, &headers, "{}").await;
+            let refused = server.send(method.clone(), path, &headers, "{}").await;
             assert_eq!(refused.status, StatusCode::UNAUTHORIZED, "{path} {wrong}");
             assert_eq!(refused.json()["status"], 401);
         }
     }
-    assert_eq!(site.send(Method::GET, "/health", &[], "").await.status, StatusCode::OK);
-    let logged = site.stop();
+    assert_eq!(server.send(Method::GET, "/health", &[], "").await.status, StatusCode::OK);
+    let logged = server.stop();
     assert!(logged.contains("\"OperatorRefused\""), "{logged}");
 }
 
 #[tokio::test]
 async fn without_a_key_only_health_is_answered() {
-    let site = start(None, 8);
-    site.serve(serve_all);
-    for (method, path) in GUARDED {
+    let server = start(None, 8);
+    server.serve(reply_to_all);
+    for (method, path) in GUARDED_ROUTES {
         for bearer in ["Bearer ", "Bearer x"] {
             let headers = [("authorization", bearer), ("if-match", "\"5\"")];
-            let refused = site.send(method.clone(), path, &headers, "{}").await;
+            let refused = server.send(method.clone(), path, &headers, "{}").await;
             assert_eq!(refused.status, StatusCode::FORBIDDEN, "{path}");
         }
     }
-    let health = site.send(Method::GET, "/health", &[], "").await;
+    let health = server.send(Method::GET, "/health", &[], "").await;
     assert_eq!(health.json(), json!({ "ready": true, "leaving": false }));
-    let logged = site.stop();
+    let logged = server.stop();
     assert!(logged.contains("THE_VARIABLE"), "{logged}");
 }
 
 #[tokio::test]
 async fn the_routes_show_what_the_node_replies() {
-    let site = start(Some(KEY), 8);
-    site.serve(serve_all);
-    assert_eq!(site.get("/status").await.json()["limit"], 12);
-    let config = site.get("/config").await;
+    let server = start(Some(KEY), 8);
+    server.serve(reply_to_all);
+    assert_eq!(server.get("/status").await.json()["limit"], 12);
+    let config = server.get("/config").await;
     assert_eq!(config.etag.as_deref(), Some("\"5\""));
     assert_eq!(config.json()["history"][0]["by"], "ana");
-    assert_eq!(site.get("/config/5").await.status, StatusCode::OK);
-    assert_eq!(site.get("/config/4").await.status, StatusCode::NOT_FOUND);
+    assert_eq!(server.get("/config/5").await.status, StatusCode::OK);
+    assert_eq!(server.get("/config/4").await.status, StatusCode::NOT_FOUND);
     let bearer = format!("Bearer {KEY}");
-    let left = site.send(Method::POST, "/leave", &[("authorization", &bearer)], "").await;
-    assert_eq!(left.json()["in_flight"], 3);
-    assert!(site.get("/metrics").await.status.is_success());
-    site.stop();
+    let leave = server.send(Method::POST, "/leave", &[("authorization", &bearer)], "").await;
+    assert_eq!(leave.json()["in_flight"], 3);
+    assert!(server.get("/metrics").await.status.is_success());
+    server.stop();
 }
 
 #[tokio::test]
 async fn a_submission_is_answered_by_its_outcome() {
-    let site = start(Some(KEY), 8);
-    site.serve(serve_all);
-    let accepted = site.put_config("\"5\"", "{}").await;
+    let server = start(Some(KEY), 8);
+    server.serve(reply_to_all);
+    let accepted = server.put_config("\"5\"", "{}").await;
     assert_eq!((accepted.status.as_u16(), accepted.etag.as_deref()), (200, Some("\"6\"")));
-    let lost = site.put_config("\"4\"", "{}").await;
-    assert_eq!(lost.status, StatusCode::CONFLICT);
-    assert_eq!(lost.json()["lost_to"]["version"], 4);
-    let invalid = site.put_config("\"3\"", "{}").await;
+    let conflict = server.put_config("\"4\"", "{}").await;
+    assert_eq!(conflict.status, StatusCode::CONFLICT);
+    assert_eq!(conflict.json()["lost_to"]["version"], 4);
+    let invalid = server.put_config("\"3\"", "{}").await;
     assert_eq!(invalid.status, StatusCode::UNPROCESSABLE_ENTITY);
     assert_eq!(invalid.json()["problems"], json!(["a", "b"]));
-    let away = site.put_config("\"2\"", "{}").await;
-    assert_eq!((away.status.as_u16(), &away.json()["outcome"]), (503, &json!("not_accepted")));
-    let unknown = site.put_config("\"1\"", "{}").await;
+    let not_accepted = server.put_config("\"2\"", "{}").await;
+    assert_eq!(
+        (not_accepted.status.as_u16(), &not_accepted.json()["outcome"]),
+        (503, &json!("not_accepted"))
+    );
+    let unknown = server.put_config("\"1\"", "{}").await;
     assert_eq!((unknown.status.as_u16(), &unknown.json()["outcome"]), (503, &json!("unknown")));
-    assert_eq!(site.put_config("*", "{}").await.status, StatusCode::PRECONDITION_REQUIRED);
-    assert_eq!(site.put_config("\"5\"", "[]").await.status, StatusCode::UNPROCESSABLE_ENTITY);
-    assert_eq!(site.put_config("\"5\"", "{").await.status, StatusCode::UNPROCESSABLE_ENTITY);
+    assert_eq!(server.put_config("*", "{}").await.status, StatusCode::PRECONDITION_REQUIRED);
+    assert_eq!(server.put_config("\"5\"", "[]").await.status, StatusCode::UNPROCESSABLE_ENTITY);
+    assert_eq!(server.put_config("\"5\"", "{").await.status, StatusCode::UNPROCESSABLE_ENTITY);
     let long = format!("{{\"x\":\"{}\"}}", "x".repeat(1 << 20));
-    assert_eq!(site.put_config("\"5\"", &long).await.status, StatusCode::PAYLOAD_TOO_LARGE);
-    site.stop();
+    assert_eq!(server.put_config("\"5\"", &long).await.status, StatusCode::PAYLOAD_TOO_LARGE);
+    server.stop();
 }
 
 #[tokio::test]
 async fn a_full_ring_and_a_silent_node_are_told_apart() {
-    let site = start(Some(KEY), 1);
-    // Nobody takes from the ring: the first submission stays in it, the second finds it full.
-    let silent = site.put_config("\"5\"", "{}").await;
+    let server = start(Some(KEY), 1);
+    // Nothing reads from the ring buffer: the first submission stays in it, the second finds it
+    // full.
+    let silent = server.put_config("\"5\"", "{}").await;
     assert_eq!((silent.status.as_u16(), &silent.json()["outcome"]), (503, &json!("unknown")));
-    let full = site.put_config("\"5\"", "{}").await;
+    let full = server.put_config("\"5\"", "{}").await;
     assert_eq!((full.status.as_u16(), &full.json()["outcome"]), (503, &json!("not_accepted")));
-    assert_eq!(site.get("/status").await.status, StatusCode::SERVICE_UNAVAILABLE);
-    let health = site.send(Method::GET, "/health", &[], "").await;
+    assert_eq!(server.get("/status").await.status, StatusCode::SERVICE_UNAVAILABLE);
+    let health = server.send(Method::GET, "/health", &[], "").await;
     assert_eq!(health.status, StatusCode::SERVICE_UNAVAILABLE);
-    site.stop();
+    server.stop();
 }
 
 #[tokio::test]
 async fn the_key_appears_in_no_output() {
-    let site = start(Some(KEY), 8);
-    site.serve(serve_all);
+    let server = start(Some(KEY), 8);
+    server.serve(reply_to_all);
     let bearer = format!("Bearer {KEY}");
-    let near = format!("Bearer {KEY}x");
+    let almost_right = format!("Bearer {KEY}x");
     let mut seen = String::new();
-    for authorization in [bearer.as_str(), &near] {
-        for (method, path) in GUARDED.into_iter().chain([(Method::GET, "/none")]) {
+    for authorization in [bearer.as_str(), &almost_right] {
+        for (method, path) in GUARDED_ROUTES.into_iter().chain([(Method::GET, "/none")]) {
             let headers = [("authorization", authorization), ("if-match", "\"3\"")];
-            seen += &format!("{:?}", site.send(method, path, &headers, "{").await);
+            seen += &format!("{:?}", server.send(method, path, &headers, "{").await);
         }
     }
-    seen += &site.stop();
+    seen += &server.stop();
     assert!(seen.contains("OperatorRefused"), "{seen}");
     assert!(!seen.contains(KEY), "{seen}");
 }
