--- a/examples/peer_bench.rs
+++ b/examples/peer_bench.rs
@@ -1,7 +1,7 @@
-//! Measures the transport between two processes.
+//! Benchmarks the transport between two processes.
 //!
-//! `peer_bench serve` answers calls and prints its address; `peer_bench call ADDRESS` measures round
-//! trips of 1 KiB each way with 1, 64 and 512 calls outstanding on one connection.
+//! `peer_bench serve` answers calls and prints its address; `peer_bench call ADDRESS` measures
+//! round trips of 1 KiB each way with 1, 64 and 512 outstanding calls on one connection.
 
 use std::env;
 use std::fs;
@@ -19,12 +19,12 @@
 
 /// The length of each body.
 const BODY_BYTES: usize = 1_024;
-/// Calls before anything is measured.
-const WARM_UP: u64 = 20_000;
-/// Calls measured at each number of outstanding ones.
-const MEASURED: u64 = 200_000;
-/// How long to wait for one event.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Warm-up calls before each measurement.
+const WARM_UP_CALLS: u64 = 20_000;
+/// Calls measured at each number of outstanding calls.
+const MEASURED_CALLS: u64 = 200_000;
+/// Time limit for each event.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn main() -> Result<()> {
     let arguments: Vec<String> = env::args().skip(1).collect();
@@ -36,10 +36,10 @@
     }
 }
 
-/// Starts a transport whose events come through a ring.
+/// Starts a transport that sends its events to a bounded channel.
 fn start(number: u64) -> Result<(PeerDuty, Receiver<PeerEvent>)> {
-    const RING_ENTRIES: usize = 4_096;
-    let (sender, events) = bounded(RING_ENTRIES);
+    const CHANNEL_ENTRIES: usize = 4_096;
+    let (sender, events) = bounded(CHANNEL_ENTRIES);
     let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let options = PeerOptions::builder().listen(listen).node(NodeId(number)).build();
     let sink = move |event| {
@@ -61,36 +61,36 @@
     Ok(())
 }
 
-/// Measures against a server.
+/// Measures round trips to a server.
 fn measure(server: SocketAddr) -> Result<()> {
     println!("before: {}", process());
     let (duty, events) = start(2)?;
     let handle = duty.handle();
     handle.connect(server);
     loop {
-        if matches!(events.recv_timeout(PATIENCE)?, PeerEvent::LinkUp { .. }) {
+        if matches!(events.recv_timeout(WAIT_TIMEOUT)?, PeerEvent::LinkUp { .. }) {
             break;
         }
     }
     for outstanding in [1, 64, 512] {
-        run(&duty, &events, server, outstanding, WARM_UP)?;
-        let begun = Instant::now();
-        let mut times = run(&duty, &events, server, outstanding, MEASURED)?;
-        let seconds = begun.elapsed().as_secs_f64();
+        run(&duty, &events, server, outstanding, WARM_UP_CALLS)?;
+        let started = Instant::now();
+        let mut times = run(&duty, &events, server, outstanding, MEASURED_CALLS)?;
+        let seconds = started.elapsed().as_secs_f64();
         times.sort_unstable();
         let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
         println!(
             "outstanding {outstanding}: p50 {:?}, p99 {:?}, {:.0} round trips/s",
             at(0.50),
             at(0.99),
-            MEASURED as f64 / seconds
+            MEASURED_CALLS as f64 / seconds
         );
     }
     println!("after: {}", process());
     Ok(())
 }
 
-/// Makes `count` calls, `outstanding` at a time. Returns the time of each.
+/// Makes `count` calls, `outstanding` at a time. Returns the round-trip time of each.
 fn run(
     duty: &PeerDuty,
     events: &Receiver<PeerEvent>,
@@ -99,18 +99,18 @@
     count: u64,
 ) -> Result<Vec<Duration>> {
     let handle = duty.handle();
-    let mut begun = vec![Instant::now(); count as usize];
+    let mut started = vec![Instant::now(); count as usize];
     let mut times = Vec::with_capacity(count as usize);
     let mut next = 0;
     while times.len() < count as usize {
         while next < count && next - (times.len() as u64) < outstanding {
-            begun[next as usize] = Instant::now();
+            started[next as usize] = Instant::now();
             handle.send(server, &call(next))?;
             next += 1;
         }
-        match events.recv_timeout(PATIENCE)? {
+        match events.recv_timeout(WAIT_TIMEOUT)? {
             PeerEvent::Reply { message: Message::Answer(answer), .. } => {
-                times.push(begun[answer.attempt.sequence as usize].elapsed());
+                times.push(started[answer.attempt.sequence as usize].elapsed());
             }
             PeerEvent::LinkLost { .. } => return Err(eyre!("the connection was lost")),
             _ => (),
@@ -119,7 +119,7 @@
     Ok(times)
 }
 
-/// Threads, memory and processor time of this process.
+/// Number of threads and resident memory of this process.
 fn process() -> String {
     let threads = fs::read_dir("/proc/self/task").map_or(0, Iterator::count);
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
--- a/src/duty/peer.rs
+++ b/src/duty/peer.rs
@@ -1,18 +1,18 @@
-//! Carries messages between nodes over nng.
+//! Transport for messages between nodes, built on nng.
 //!
-//! Each peer that is sent to has one connection (`link`), a raw REQ socket of its own; everything
-//! that comes in arrives at one raw REP socket (`paths`). Raw sockets repeat nothing. A connection
-//! that closes or goes silent is given up together with its socket, so that nothing queued in it can
-//! leave later; the thread `upkeep` does this and opens the next one.
+//! Each peer that messages are sent to has one outbound connection (`link`) with its own raw REQ
+//! socket; all inbound connections share one raw REP socket (`inbound`). Raw sockets never resend.
+//! When a connection closes or goes silent, its socket is closed too, so that nothing queued in it
+//! can be sent later. The `upkeep` thread closes the socket and opens the next one.
 
 mod dial;
 mod envelope;
 mod error;
 mod event;
+mod inbound;
 mod link;
 pub mod liveness;
 mod options;
-mod paths;
 pub mod redial;
 mod shared;
 mod upkeep;
@@ -32,39 +32,40 @@
 
 use shared::Shared;
 
-/// The running transport. It stops when it is dropped.
+/// The running transport. Dropping it stops it.
 pub struct PeerDuty {
-    /// What handles, callbacks and the upkeep thread have in common.
+    /// State shared by handles, callbacks and the upkeep thread.
     shared: Arc<Shared>,
-    /// The thread that watches the connections, until it has been joined.
+    /// The thread that monitors the connections, until it has been joined.
     upkeep: Option<JoinHandle<()>>,
-    /// Where this node listens, with the port that the system chose.
+    /// The listening address, with the port that the system chose.
     address: SocketAddr,
 }
 
 /// Sends messages to other nodes. No method blocks.
 #[derive(Clone)]
 pub struct PeerHandle {
-    /// What handles, callbacks and the upkeep thread have in common.
+    /// State shared by handles, callbacks and the upkeep thread.
     shared: Arc<Shared>,
 }
 
-/// Starts to listen and to watch the connections.
+/// Starts listening and monitoring the connections.
 ///
-/// `sink` is told everything that happens, on nng's threads and on the upkeep thread, several at a
-/// time. It must not block, and must not call [`PeerDuty::stop`].
+/// `sink` receives every event, concurrently from nng's threads and the upkeep thread. It must not
+/// block, and must not call [`PeerDuty::stop`].
 ///
 /// # Errors
 ///
-/// [`PeerError`] when the address cannot be listened on, or a thread cannot be started.
+/// [`PeerError`] when an option is out of range, the address cannot be listened on, or a thread
+/// cannot be started.
 pub fn start(
     options: PeerOptions,
     clock: Clock,
     sink: impl Fn(PeerEvent) + Send + Sync + 'static,
 ) -> Result<PeerDuty, PeerError> {
-    let (shared, wakes) = Shared::new(options, clock, Box::new(sink))?;
-    let address = paths::listen(&shared)?;
-    let upkeep = upkeep::spawn(shared.clone(), wakes)?;
+    let (shared, wake_receiver) = Shared::new(options, clock, Box::new(sink))?;
+    let address = inbound::listen(&shared)?;
+    let upkeep = upkeep::spawn(shared.clone(), wake_receiver)?;
     Ok(PeerDuty { shared, upkeep: Some(upkeep), address })
 }
 
@@ -74,68 +75,68 @@
         PeerHandle { shared: self.shared.clone() }
     }
 
-    /// Where this node listens.
+    /// The listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Replies that have been handed over but that their receivers have not confirmed.
+    /// Replies accepted for sending that their receivers have not acknowledged.
     pub fn unconfirmed_replies(&self) -> u64 {
-        self.shared.paths.unconfirmed()
+        self.shared.inbound.unacknowledged()
     }
 
-    /// Closes all connections and joins the thread. Afterwards the sink is not called again.
+    /// Closes all connections and joins the thread. The sink is not called afterwards.
     pub fn stop(mut self) {
-        self.shut();
+        self.stop_once();
     }
 
     /// Stops once; later calls do nothing.
-    fn shut(&mut self) {
+    fn stop_once(&mut self) {
         let Some(upkeep) = self.upkeep.take() else { return };
-        self.shared.begin_stop();
-        // The thread has no more to say than that it panicked, which it has already logged.
+        self.shared.request_stop();
+        // An error here only means that the thread panicked, which was logged then.
         let _ = upkeep.join();
-        self.shared.paths.close();
+        self.shared.inbound.close();
     }
 }
 
 impl Drop for PeerDuty {
     fn drop(&mut self) {
-        self.shut();
+        self.stop_once();
     }
 }
 
 impl PeerHandle {
-    /// Opens a connection to `peer`, unless there is one, so that a later message finds it ready.
+    /// Opens a connection to `peer` in advance, unless there is one.
     pub fn connect(&self, peer: SocketAddr) {
         self.shared.link(peer);
     }
 
-    /// Sends a message to `peer`, connecting first where necessary.
+    /// Sends a message to `peer`, connecting first if necessary.
     ///
     /// # Errors
     ///
-    /// [`SendError`] when nothing has left this process and nothing will. A message that was taken
-    /// while the connection was still being made may be given back by [`PeerEvent::Unsent`].
+    /// [`SendError`] when nothing has been sent and nothing will be. A message accepted while the
+    /// connection was still being established may be reported later by [`PeerEvent::Unsent`].
     pub fn send(&self, peer: SocketAddr, message: &Message) -> Result<(), SendError> {
-        self.shared.check_running()?;
+        self.shared.ensure_running()?;
         let frame = self.shared.wrap(message)?;
         let link = self.shared.link(peer);
         link.send(&self.shared, message, frame)
     }
 
-    /// Sends a message back to where a request came from.
+    /// Sends a message on the connection that a request arrived on.
     ///
     /// # Errors
     ///
-    /// [`SendError`] when nothing has left this process and nothing will.
+    /// [`SendError`] when nothing has been sent and nothing will be.
     pub fn reply(&self, path: ReturnPath, message: &Message) -> Result<(), SendError> {
-        self.shared.check_running()?;
+        self.shared.ensure_running()?;
         let frame = self.shared.wrap(message)?;
-        self.shared.paths.reply(path, frame)
+        self.shared.inbound.reply(path, frame)
     }
 
-    /// Closes the connection to `peer` and makes no new one until something is sent to it again.
+    /// Closes the connection to `peer` and does not reconnect until something is sent to it again.
     pub fn forget(&self, peer: SocketAddr) {
         self.shared.forget(peer);
     }
--- a/src/duty/peer/dial.rs
+++ b/src/duty/peer/dial.rs
@@ -1,4 +1,4 @@
-//! Opens sockets and keeps them receiving.
+//! Opens nng sockets, dials peers and runs the receive loop.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,29 +14,29 @@
 use super::options::PeerOptions;
 use super::shared::{Shared, lock};
 
-/// How long nng waits before it connects a socket again by itself, or rather any random part of it:
-/// so long that the socket has been closed before.
+/// nng waits a random part of this time before it reconnects a socket by itself: long enough that
+/// the socket is closed first.
 const RECONNECT_WAIT: Duration = Duration::from_secs(86_400);
-/// Received frames that nng may hold while the sink is busy.
-const RECEIVE_RING_ENTRIES: i32 = 64;
-/// Bytes that nng counts in with a message beside the encoded one: header words and the kind.
+/// Received frames that nng may buffer while the sink is busy.
+const RECEIVE_BUFFER_ENTRIES: i32 = 64;
+/// Bytes that nng counts as part of a message besides the encoded one: header words and the kind.
 const ENVELOPE_MAX_BYTES: usize = 64;
 
 /// A socket that keeps receiving until it is closed.
 pub(super) struct OpenSocket {
     /// The socket.
     pub(super) socket: Socket,
-    /// The operation that receives.
+    /// The asynchronous receive operation.
     receiving: Aio,
-    /// Held while a new receive operation is begun; true when none may be begun any more.
+    /// Locked while a receive operation is started; once true, no new one is started.
     is_closing: Arc<Mutex<bool>>,
 }
 
 impl OpenSocket {
-    /// Ends the receiving, waits until the callback has returned, and closes the socket.
+    /// Stops receiving, waits until the callback has returned, and closes the socket.
     ///
-    /// nng frees the queue of a closed socket even if a receive operation was begun at that moment,
-    /// and ends the process when that operation is ended later. So no operation may be under way.
+    /// nng frees the queue of a closed socket even if a receive operation was started just then,
+    /// and aborts the process when that operation ends. So none may be pending at the close.
     pub(super) fn close(&self) {
         *lock(&self.is_closing) = true;
         self.receiving.cancel();
@@ -45,30 +45,30 @@
     }
 }
 
-/// Opens a raw socket with the limits of `options`.
+/// Opens a raw socket with the limits from `options`.
 pub(super) fn raw_socket(protocol: Protocol, options: &PeerOptions) -> nng::Result<Socket> {
     let socket = RawSocket::new(protocol)?.socket;
     socket.set_opt::<RecvMaxSize>(options.message_max_bytes + ENVELOPE_MAX_BYTES)?;
     socket.set_opt::<SendBufferSize>(options.ring_entries as i32)?;
-    socket.set_opt::<RecvBufferSize>(RECEIVE_RING_ENTRIES)?;
+    socket.set_opt::<RecvBufferSize>(RECEIVE_BUFFER_ENTRIES)?;
     Ok(socket)
 }
 
-/// Begins to receive; `on_frame` is called for one frame after the other.
+/// Starts receiving; `on_frame` is called for one frame at a time.
 pub(super) fn receive(
     socket: Socket,
     on_frame: impl Fn(Frame) + Send + Sync + 'static,
 ) -> nng::Result<OpenSocket> {
     let source = socket.clone();
     let is_closing = Arc::new(Mutex::new(false));
-    let gate = is_closing.clone();
+    let closing_flag = is_closing.clone();
     let receiving = Aio::new(move |aio, result| {
         if let AioResult::Recv(Ok(frame)) = result {
             on_frame(frame);
         }
-        let is_closing = lock(&gate);
+        let is_closing = lock(&closing_flag);
         if !*is_closing {
-            // This fails only when nng is out of memory or the socket is closed.
+            // This fails only if nng is out of memory or the socket is closed.
             let _ = source.recv_async(&aio);
         }
     })?;
@@ -76,8 +76,8 @@
     Ok(OpenSocket { socket, receiving, is_closing })
 }
 
-/// Opens a socket for one connection to the peer of `link` and begins to connect. What happens is
-/// told to the link, which ignores it when it has gone on to another generation.
+/// Opens a socket for one connection to the peer of `link` and starts connecting. Events are
+/// passed to the link, which ignores them once it has moved on to another generation.
 pub(super) fn dial(
     shared: &Arc<Shared>,
     link: &Arc<Link>,
@@ -86,7 +86,7 @@
     let socket = raw_socket(Protocol::Req0, &shared.options)?;
     socket.set_opt::<ReconnectMinTime>(Some(RECONNECT_WAIT))?;
     socket.set_opt::<ReconnectMaxTime>(Some(RECONNECT_WAIT))?;
-    watch_pipe(&socket, shared.clone(), link.clone(), generation)?;
+    register_pipe_callback(&socket, shared.clone(), link.clone(), generation)?;
     let open = {
         let (shared, link) = (shared.clone(), link.clone());
         receive(socket, move |frame| link.on_frame(&shared, generation, frame))?
@@ -95,24 +95,24 @@
     Ok(open)
 }
 
-/// Tells the link when its connection opens and closes, and lets the socket have only one in its
-/// life: otherwise what waits in the socket would go out on the next connection by itself.
-fn watch_pipe(
+/// Notifies the link when its connection opens and closes, and allows the socket only one
+/// connection in its lifetime: nng would send whatever is still queued on the next connection.
+fn register_pipe_callback(
     socket: &Socket,
     shared: Arc<Shared>,
     link: Arc<Link>,
     generation: u64,
 ) -> nng::Result<()> {
-    let had_pipe = AtomicBool::new(false);
+    let has_had_pipe = AtomicBool::new(false);
     socket.pipe_notify(move |pipe: Pipe, event| match event {
-        PipeEvent::AddPre if had_pipe.swap(true, Ordering::SeqCst) => pipe.close(),
+        PipeEvent::AddPre if has_had_pipe.swap(true, Ordering::SeqCst) => pipe.close(),
         PipeEvent::AddPost => link.on_open(&shared, generation),
         PipeEvent::RemovePost => link.on_closed(&shared, generation),
         _ => (),
     })
 }
 
-/// How nng writes an address.
+/// The nng URL of an address.
 pub(super) fn url(address: SocketAddr) -> String {
     format!("tcp://{address}")
 }
--- a/src/duty/peer/error.rs
+++ b/src/duty/peer/error.rs
@@ -9,16 +9,16 @@
 /// Why the transport did not start.
 #[derive(Debug, Error)]
 pub enum PeerError {
-    /// The settings contradict each other or go beyond what nng can do.
+    /// An option is out of the range that is supported.
     #[error("{field} is {value}, it must be from {min} to {max}")]
     BadOption {
         /// The option.
         field: &'static str,
         /// Its value.
         value: u64,
-        /// The least that is possible.
+        /// The minimum.
         min: u64,
-        /// The most that is possible.
+        /// The maximum.
         max: u64,
     },
     /// nng refused to listen.
@@ -26,15 +26,15 @@
     Listen {
         /// The address.
         listen: SocketAddr,
-        /// What nng said.
+        /// The error of nng.
         cause: nng::Error,
     },
-    /// The thread could not be started.
-    #[error("cannot start the thread: {0}")]
+    /// The upkeep thread could not be started.
+    #[error("cannot start the peer upkeep thread: {0}")]
     Thread(#[from] std::io::Error),
 }
 
-/// Why a message was not sent: nothing of it has left this process, and nothing will.
+/// Why a message was not sent. No part of it was sent or will be.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SendError {
     /// The message cannot be encoded, or its body is too long.
@@ -45,16 +45,16 @@
     TooLong {
         /// The length of the encoded message.
         bytes: usize,
-        /// The longest message allowed.
+        /// The maximum.
         max_bytes: usize,
     },
-    /// As many messages as fit wait for this connection already.
-    #[error("the ring of the connection is full")]
+    /// The queue of the connection is full.
+    #[error("the send queue of the connection is full")]
     RingFull,
-    /// There is no connection to the peer, and the last try to make one failed.
+    /// There is no connection to the peer, and the last attempt to connect failed.
     #[error("the peer cannot be reached")]
     Unreachable,
-    /// The connection that a reply belongs to has closed.
+    /// The connection that the request arrived on has closed.
     #[error("the connection of the request has closed")]
     PathGone,
     /// The transport has been stopped.
--- a/src/duty/peer/event.rs
+++ b/src/duty/peer/event.rs
@@ -1,4 +1,4 @@
-//! What the transport reports.
+//! Events reported by the transport.
 
 use std::net::SocketAddr;
 
@@ -6,63 +6,63 @@
 
 use crate::call::Message;
 
-/// Where the reply to a request must go: a connection, and the request on it.
+/// The return path of a reply: an inbound connection and a request on it.
 ///
-/// It is worth nothing to another process, and nothing after the connection has closed.
+/// It is valid only in this process, and only until the connection closes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReturnPath {
-    /// nng's number of the connection.
+    /// nng's ID of the connection.
     pub(super) pipe: u32,
-    /// The number the sender gave the request, with the bit that ends nng's header.
+    /// The request number set by the sender, with the marker bit of the last header word.
     pub(super) request: u32,
 }
 
 impl ReturnPath {
-    /// The way back to `request` on the connection `pipe`, for tests that carry replies themselves.
+    /// The path to `request` on connection `pipe`, for tests that deliver replies themselves.
     pub fn from_parts(pipe: u32, request: u32) -> Self {
         Self { pipe, request }
     }
 
-    /// The connection and the request.
+    /// The connection and the request number.
     pub fn parts(self) -> (u32, u32) {
         (self.pipe, self.request)
     }
 }
 
-/// Something that happened on the connections.
+/// An event on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerEvent {
-    /// Another node sent something that is not a reply.
+    /// A message from another node on an inbound connection.
     Request {
-        /// Where a reply must go.
+        /// Where to send a reply.
         path: ReturnPath,
-        /// What was sent.
+        /// The message.
         message: Message,
     },
-    /// A node that was sent to has replied. Pongs are reported here too, for the load they carry.
+    /// A reply on an outbound connection. Pongs are reported too, for the load they carry.
     Reply {
-        /// The address that was sent to.
+        /// The address of the peer.
         peer: SocketAddr,
         /// The reply.
         message: Message,
     },
-    /// A message that [`PeerHandle::send`](super::PeerHandle::send) had taken never left this
-    /// process, as no connection could be made. It certainly did not run.
+    /// A message accepted by [`PeerHandle::send`](super::PeerHandle::send) was not sent, as no
+    /// connection could be made. It certainly did not run.
     Unsent {
-        /// The address that was to be sent to.
+        /// The address of the peer.
         peer: SocketAddr,
         /// The message.
         message: Message,
     },
-    /// The connection closed, went silent or could not be made. Everything that was sent on it and
-    /// not answered is in doubt. The transport keeps trying to connect again.
+    /// The connection closed, went silent or could not be made. The outcome of everything sent on
+    /// it and not answered is unknown. The transport keeps trying to reconnect.
     LinkLost {
-        /// The address of the other end.
+        /// The address of the peer.
         peer: SocketAddr,
     },
-    /// The other end has answered over a new connection.
+    /// The peer has responded on a new connection.
     LinkUp {
-        /// The address of the other end.
+        /// The address of the peer.
         peer: SocketAddr,
     },
 }
--- a/src/duty/peer/link.rs
+++ b/src/duty/peer/link.rs
@@ -1,4 +1,4 @@
-//! The connection to one peer, and what becomes of it.
+//! The outbound connection to one peer and its state machine.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,110 +10,110 @@
 use super::envelope::{self, Content};
 use super::error::SendError;
 use super::event::PeerEvent;
-use super::liveness::{Liveness, Sign, Step};
-use super::redial::Redial;
+use super::liveness::{Liveness, LivenessAction, ReceivedKind};
+use super::redial::RedialBackoff;
 use super::shared::{Shared, lock};
 use super::window::ReplyCount;
 use crate::call::Message;
 use crate::clock::US_PER_MS;
 
-/// Messages that may wait while a connection is being made.
-const HELD_MAX: usize = 64;
+/// Messages that may be queued while a connection is being established.
+const PENDING_MAX: usize = 64;
 
-/// The connection to one peer.
+/// The outbound connection to one peer.
 pub(super) struct Link {
-    /// The other end.
+    /// The address of the peer.
     peer: SocketAddr,
-    /// What becomes of it.
+    /// The state of the connection.
     state: Mutex<LinkState>,
 }
 
-/// The state of a connection. Callbacks only note things here; the upkeep thread acts.
+/// The state of a connection. Callbacks only record events here; the upkeep thread acts on them.
 struct LinkState {
-    /// How far the connection is.
+    /// The phase of the connection.
     phase: Phase,
-    /// Counts the sockets this link has had, so that news of an earlier one are ignored.
+    /// Number of sockets this link has had; events of earlier sockets are ignored.
     generation: u64,
-    /// Whether the present socket has had its connection.
-    opened: bool,
-    /// Whether the present socket's connection has closed or carried what is not understood.
-    broken: bool,
-    /// Messages that wait for the connection.
-    held: VecDeque<Message>,
-    /// How long to wait before the next try to connect.
-    redial: Redial,
+    /// Whether the connection of the current socket has opened.
+    is_opened: bool,
+    /// Whether that connection has closed or carried an invalid frame.
+    is_broken: bool,
+    /// Messages queued until there is a connection.
+    pending: VecDeque<Message>,
+    /// The backoff between attempts to connect.
+    redial: RedialBackoff,
     /// The number of the latest request.
     request: u32,
 }
 
-/// How far a connection is.
+/// The phase of a connection.
 enum Phase {
-    /// A connection is wanted.
-    Wanted,
-    /// A connection is being made.
+    /// Not connected; to be dialled in the next step.
+    NotConnected,
+    /// A connection is being established.
     Dialing {
         /// The socket, once it is open.
         open: Option<OpenSocket>,
-        /// When it was begun.
-        since_us: u64,
+        /// When it was started.
+        started_at_us: u64,
     },
-    /// There is a connection.
+    /// The connection is established.
     Up(Connection),
-    /// The last try failed; there will be another.
-    Down {
-        /// When.
+    /// The last attempt failed; waiting before the next one.
+    Backoff {
+        /// When to dial again.
         until_us: u64,
     },
 }
 
-/// A connection that has been made.
+/// An established connection.
 struct Connection {
     /// The socket.
     open: OpenSocket,
-    /// Watches it for silence.
+    /// Detects silence.
     liveness: Liveness,
-    /// Counts the replies received.
+    /// Counts the replies received, to acknowledge them.
     replies: ReplyCount,
-    /// When it was made.
-    since_us: u64,
+    /// When it was established.
+    connected_at_us: u64,
     /// Whether anything has been received.
-    heard: bool,
+    has_received: bool,
     /// Whether `LinkUp` has been reported.
-    announced: bool,
+    is_link_up_reported: bool,
 }
 
-/// What the upkeep thread has to do for a link, without its lock.
+/// What the upkeep thread has to do for a link after releasing its lock.
 #[derive(Default)]
-pub(super) struct Work {
-    /// Open a socket of this generation.
+pub(super) struct LinkActions {
+    /// Dial with a new socket of this generation.
     pub(super) dial: Option<u64>,
     /// Close this socket.
     pub(super) close: Option<OpenSocket>,
-    /// Report these.
+    /// Report these events.
     pub(super) events: Vec<PeerEvent>,
 }
 
 impl Link {
-    /// A link to `peer` that is to be connected.
-    pub(super) fn new(peer: SocketAddr, redial: Redial) -> Self {
+    /// A link to `peer`, not connected yet.
+    pub(super) fn new(peer: SocketAddr, redial: RedialBackoff) -> Self {
         let state = LinkState {
-            phase: Phase::Wanted,
+            phase: Phase::NotConnected,
             generation: 0,
-            opened: false,
-            broken: false,
-            held: VecDeque::new(),
+            is_opened: false,
+            is_broken: false,
+            pending: VecDeque::new(),
             redial,
             request: 0,
         };
         Self { peer, state: Mutex::new(state) }
     }
 
-    /// The other end.
+    /// The address of the peer.
     pub(super) fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Sends a message, which stands in `frame` as well, or keeps it until there is a connection.
+    /// Sends `frame`, the wrapped `message`, or queues the message until there is a connection.
     pub(super) fn send(
         &self,
         shared: &Shared,
@@ -130,22 +130,22 @@
                 connection.expect_answer(message, shared.clock.now_us());
                 Ok(())
             }
-            Phase::Wanted | Phase::Dialing { .. } if state.held.len() < HELD_MAX => {
-                state.held.push_back(message.clone());
+            Phase::NotConnected | Phase::Dialing { .. } if state.pending.len() < PENDING_MAX => {
+                state.pending.push_back(message.clone());
                 Ok(())
             }
-            Phase::Wanted | Phase::Dialing { .. } => Err(SendError::RingFull),
-            Phase::Down { .. } => Err(SendError::Unreachable),
+            Phase::NotConnected | Phase::Dialing { .. } => Err(SendError::RingFull),
+            Phase::Backoff { .. } => Err(SendError::Unreachable),
         }
     }
 
-    /// The socket of `generation` has its connection.
+    /// The connection of the socket of `generation` has opened.
     pub(super) fn on_open(&self, shared: &Shared, generation: u64) {
         let mut state = lock(&self.state);
         if state.generation != generation {
             return;
         }
-        state.opened = true;
+        state.is_opened = true;
         drop(state);
         shared.wake();
     }
@@ -156,26 +156,26 @@
         if state.generation != generation {
             return;
         }
-        state.broken = true;
+        state.is_broken = true;
         drop(state);
         shared.wake();
     }
 
-    /// The socket of `generation` has received something.
+    /// The socket of `generation` has received a frame.
     pub(super) fn on_frame(&self, shared: &Shared, generation: u64, frame: Frame) {
         let content = envelope::unwrap(&frame, shared.options.body_max_bytes);
         let Ok(Content::Message(message)) = content else {
             return self.on_closed(shared, generation);
         };
-        let is_first = self.count(&message, shared.clock.now_us(), generation);
+        let is_first = self.record_reply(&message, shared.clock.now_us(), generation);
         if is_first {
             shared.wake();
         }
         shared.emit(PeerEvent::Reply { peer: self.peer, message });
     }
 
-    /// Notes a sign of life. Returns whether it is the first one of its connection.
-    fn count(&self, message: &Message, now_us: u64, generation: u64) -> bool {
+    /// Records a received message. Returns whether it is the first one of its connection.
+    fn record_reply(&self, message: &Message, now_us: u64, generation: u64) -> bool {
         let mut state = lock(&self.state);
         if state.generation != generation {
             return false;
@@ -183,17 +183,17 @@
         state.request = state.request.wrapping_add(1);
         let request = state.request;
         let Phase::Up(connection) = &mut state.phase else { return false };
-        connection.liveness.received(now_us, sign_of(message));
+        connection.liveness.record_received(now_us, received_kind(message));
         if !matches!(message, Message::Pong { .. }) {
-            if let Some(received) = connection.replies.received() {
-                connection.confirm(received, request);
+            if let Some(received) = connection.replies.record_received() {
+                connection.acknowledge(received, request);
             }
         }
-        !std::mem::replace(&mut connection.heard, true)
+        !std::mem::replace(&mut connection.has_received, true)
     }
 
-    /// Keeps the socket that was opened for `generation`, or gives it back when it is not wanted.
-    pub(super) fn keep(&self, generation: u64, opened: OpenSocket) -> Option<OpenSocket> {
+    /// Stores the socket opened for `generation`, or returns it if it is no longer needed.
+    pub(super) fn adopt_socket(&self, generation: u64, opened: OpenSocket) -> Option<OpenSocket> {
         let mut guard = lock(&self.state);
         let state = &mut *guard;
         match &mut state.phase {
@@ -205,164 +205,169 @@
         }
     }
 
-    /// Moves on at `now_us`. Returns what has to be done without the lock.
-    pub(super) fn step(&self, shared: &Shared, now_us: u64) -> Work {
+    /// Advances the state to `now_us`. Returns what has to be done without the lock.
+    pub(super) fn step(&self, shared: &Shared, now_us: u64) -> LinkActions {
         let mut state = lock(&self.state);
         state.step(self.peer, shared, now_us)
     }
 
-    /// Gives the connection up for good.
-    pub(super) fn retire(&self) -> Work {
+    /// Closes the connection permanently.
+    pub(super) fn retire(&self) -> LinkActions {
         let mut state = lock(&self.state);
         state.generation += 1;
-        let mut work = Work { events: state.give_back(self.peer), ..Work::default() };
-        work.close = state.take_socket();
-        state.phase = Phase::Down { until_us: u64::MAX };
-        work
+        let mut actions =
+            LinkActions { events: state.drain_unsent(self.peer), ..LinkActions::default() };
+        actions.close = state.take_socket();
+        state.phase = Phase::Backoff { until_us: u64::MAX };
+        actions
     }
 }
 
 impl LinkState {
-    /// Moves on at `now_us`.
-    fn step(&mut self, peer: SocketAddr, shared: &Shared, now_us: u64) -> Work {
+    /// Advances the state to `now_us`.
+    fn step(&mut self, peer: SocketAddr, shared: &Shared, now_us: u64) -> LinkActions {
         match &mut self.phase {
-            Phase::Wanted => self.begin_dial(now_us),
-            Phase::Dialing { open: Some(_), .. } if self.opened && !self.broken => {
-                self.begin_connection(peer, shared, now_us)
+            Phase::NotConnected => self.start_dial(now_us),
+            Phase::Dialing { open: Some(_), .. } if self.is_opened && !self.is_broken => {
+                self.on_connected(peer, shared, now_us)
             }
-            Phase::Dialing { since_us, .. } => {
-                let within_us = shared.options.connect_within_ms * US_PER_MS;
-                let is_late = now_us.saturating_sub(*since_us) >= within_us;
-                if self.broken || is_late {
-                    return self.fail(peer, now_us);
+            Phase::Dialing { started_at_us, .. } => {
+                let connect_timeout_us = shared.options.connect_within_ms * US_PER_MS;
+                let is_late = now_us.saturating_sub(*started_at_us) >= connect_timeout_us;
+                if self.is_broken || is_late {
+                    return self.drop_connection(peer, now_us);
                 }
-                Work::default()
+                LinkActions::default()
             }
-            Phase::Up(_) if self.broken => self.fail(peer, now_us),
+            Phase::Up(_) if self.is_broken => self.drop_connection(peer, now_us),
             Phase::Up(connection) => {
                 self.request = self.request.wrapping_add(1);
-                let Some(events) = connection.watch(peer, shared, now_us, self.request) else {
-                    return self.fail(peer, now_us);
+                let Some(events) = connection.check(peer, shared, now_us, self.request) else {
+                    return self.drop_connection(peer, now_us);
                 };
-                if self.has_worked(now_us) {
-                    self.redial.succeeded();
+                if self.is_stable(now_us) {
+                    self.redial.record_success();
                 }
-                Work { events, ..Work::default() }
+                LinkActions { events, ..LinkActions::default() }
             }
-            Phase::Down { until_us } if now_us >= *until_us => self.begin_dial(now_us),
-            Phase::Down { .. } => Work::default(),
+            Phase::Backoff { until_us } if now_us >= *until_us => self.start_dial(now_us),
+            Phase::Backoff { .. } => LinkActions::default(),
         }
     }
 
-    /// Begins to connect with a new socket.
-    fn begin_dial(&mut self, now_us: u64) -> Work {
+    /// Starts connecting with a new socket.
+    fn start_dial(&mut self, now_us: u64) -> LinkActions {
         self.generation += 1;
-        self.opened = false;
-        self.broken = false;
-        self.phase = Phase::Dialing { open: None, since_us: now_us };
-        Work { dial: Some(self.generation), ..Work::default() }
+        self.is_opened = false;
+        self.is_broken = false;
+        self.phase = Phase::Dialing { open: None, started_at_us: now_us };
+        LinkActions { dial: Some(self.generation), ..LinkActions::default() }
     }
 
-    /// Sends what has waited for the connection.
-    fn begin_connection(&mut self, peer: SocketAddr, shared: &Shared, now_us: u64) -> Work {
-        let Some(open) = self.take_socket() else { return Work::default() };
+    /// Sends the queued messages on the new connection.
+    fn on_connected(&mut self, peer: SocketAddr, shared: &Shared, now_us: u64) -> LinkActions {
+        let Some(open) = self.take_socket() else { return LinkActions::default() };
         let mut connection = Connection {
             open,
             liveness: Liveness::new(shared.options.liveness(), now_us),
             replies: ReplyCount::default(),
-            since_us: now_us,
-            heard: false,
-            announced: false,
+            connected_at_us: now_us,
+            has_received: false,
+            is_link_up_reported: false,
         };
         let mut events = Vec::new();
-        for message in self.held.drain(..) {
+        for message in self.pending.drain(..) {
             self.request = self.request.wrapping_add(1);
-            if connection.send_held(shared, &message, self.request).is_err() {
+            if connection.wrap_and_send(shared, &message, self.request).is_err() {
                 events.push(PeerEvent::Unsent { peer, message });
                 continue;
             }
             connection.expect_answer(&message, now_us);
         }
         self.phase = Phase::Up(connection);
-        Work { events, ..Work::default() }
+        LinkActions { events, ..LinkActions::default() }
     }
 
-    /// Gives the connection up. One that worked for a while is replaced at once, otherwise there is
-    /// a wait first.
-    fn fail(&mut self, peer: SocketAddr, now_us: u64) -> Work {
-        // Something may have been sent on any connection that was made.
-        let is_news = matches!(self.phase, Phase::Up(_)) || !self.redial.is_failing();
-        let has_worked = self.has_worked(now_us);
-        let mut work = Work { events: self.give_back(peer), ..Work::default() };
-        work.close = self.take_socket();
-        if is_news {
-            work.events.push(PeerEvent::LinkLost { peer });
+    /// Drops the connection. A stable one is replaced at once, any other one after a backoff.
+    fn drop_connection(&mut self, peer: SocketAddr, now_us: u64) -> LinkActions {
+        // An established connection is always reported: something may have been sent on it.
+        let is_new_loss = matches!(self.phase, Phase::Up(_)) || !self.redial.is_failing();
+        let is_stable = self.is_stable(now_us);
+        let mut actions = LinkActions { events: self.drain_unsent(peer), ..LinkActions::default() };
+        actions.close = self.take_socket();
+        if is_new_loss {
+            actions.events.push(PeerEvent::LinkLost { peer });
         }
-        if has_worked {
-            self.redial.succeeded();
-            work.dial = self.begin_dial(now_us).dial;
-            return work;
+        if is_stable {
+            self.redial.record_success();
+            actions.dial = self.start_dial(now_us).dial;
+            return actions;
         }
-        // From here on news of the socket that is being closed are ignored.
+        // Later events of the socket that is being closed are ignored.
         self.generation += 1;
-        let until_us = now_us + self.redial.failed();
-        self.phase = Phase::Down { until_us };
-        work
+        let until_us = now_us + self.redial.record_failure();
+        self.phase = Phase::Backoff { until_us };
+        actions
     }
 
-    /// Whether there is a connection that has worked for a while.
-    fn has_worked(&self, now_us: u64) -> bool {
+    /// Whether the connection has received something and has lasted long enough.
+    fn is_stable(&self, now_us: u64) -> bool {
         let Phase::Up(connection) = &self.phase else { return false };
-        let age_us = now_us.saturating_sub(connection.since_us);
-        connection.heard && age_us >= self.redial.success_after_us()
+        let age_us = now_us.saturating_sub(connection.connected_at_us);
+        connection.has_received && age_us >= self.redial.stable_after_us()
     }
 
-    /// Reports all waiting messages as unsent.
-    fn give_back(&mut self, peer: SocketAddr) -> Vec<PeerEvent> {
-        self.held.drain(..).map(|message| PeerEvent::Unsent { peer, message }).collect()
+    /// Removes all queued messages and returns the events that report them as unsent.
+    fn drain_unsent(&mut self, peer: SocketAddr) -> Vec<PeerEvent> {
+        self.pending.drain(..).map(|message| PeerEvent::Unsent { peer, message }).collect()
     }
 
-    /// Takes the socket out, leaving the link without one.
+    /// Takes the socket, leaving the link not connected.
     fn take_socket(&mut self) -> Option<OpenSocket> {
-        match std::mem::replace(&mut self.phase, Phase::Wanted) {
+        match std::mem::replace(&mut self.phase, Phase::NotConnected) {
             Phase::Dialing { open, .. } => open,
             Phase::Up(connection) => Some(connection.open),
-            Phase::Wanted | Phase::Down { .. } => None,
+            Phase::NotConnected | Phase::Backoff { .. } => None,
         }
     }
 }
 
 impl Connection {
-    /// Puts a frame on the connection's ring.
+    /// Puts a frame into the connection's send queue.
     fn send(&self, mut frame: Frame, request: u32) -> Result<(), SendError> {
         envelope::set_request_header(&mut frame, request);
         self.open.socket.try_send(frame).map_err(|_| SendError::RingFull)
     }
 
-    /// Sends a message that has waited for the connection.
-    fn send_held(&self, shared: &Shared, message: &Message, request: u32) -> Result<(), SendError> {
+    /// Wraps and sends a message.
+    fn wrap_and_send(
+        &self,
+        shared: &Shared,
+        message: &Message,
+        request: u32,
+    ) -> Result<(), SendError> {
         let frame = shared.wrap(message)?;
         self.send(frame, request)
     }
 
-    /// Confirms replies; when there is no room the next reply or tick will do it.
-    fn confirm(&mut self, received: u64, request: u32) {
-        let frame = envelope::wrap_confirmation(received);
+    /// Acknowledges replies. If the send queue is full, a later reply or tick retries it.
+    fn acknowledge(&mut self, received: u64, request: u32) {
+        let frame = envelope::wrap_acknowledgement(received);
         if self.send(frame, request).is_ok() {
-            self.replies.confirmed(received);
+            self.replies.record_acknowledged(received);
         }
     }
 
-    /// Notes that `message`, sent at `now_us`, is to be answered.
+    /// Records that an answer to `message`, sent at `now_us`, is expected.
     fn expect_answer(&mut self, message: &Message, now_us: u64) {
-        if let Some(answer_within_us) = answer_within_us(message) {
-            self.liveness.expect(now_us, answer_within_us);
+        if let Some(answer_timeout_us) = answer_timeout_us(message) {
+            self.liveness.expect_answer(now_us, answer_timeout_us);
         }
     }
 
-    /// Pings and confirms when it is time to. Returns events to report, or nothing when the
+    /// Sends pings and acknowledgements that are due. Returns events to report, or `None` if the
     /// connection is silent.
-    fn watch(
+    fn check(
         &mut self,
         peer: SocketAddr,
         shared: &Shared,
@@ -370,34 +375,34 @@
         request: u32,
     ) -> Option<Vec<PeerEvent>> {
         match self.liveness.step(now_us) {
-            Step::Silent => return None,
-            Step::Ping(sequence) => {
+            LivenessAction::Silent => return None,
+            LivenessAction::Ping(sequence) => {
                 let message = Message::Ping { from: shared.options.node, sequence };
-                // A ping that finds no room still counts: a full ring that stays full is silence.
-                let _ = self.send_held(shared, &message, request);
+                // A ping that does not fit counts as sent: a queue that stays full is silence too.
+                let _ = self.wrap_and_send(shared, &message, request);
             }
-            Step::Wait => (),
+            LivenessAction::Wait => (),
         }
-        if let Some(received) = self.replies.unconfirmed() {
-            self.confirm(received, request);
+        if let Some(received) = self.replies.unacknowledged() {
+            self.acknowledge(received, request);
         }
         let mut events = Vec::new();
-        if self.heard && !self.announced {
-            self.announced = true;
+        if self.has_received && !self.is_link_up_reported {
+            self.is_link_up_reported = true;
             events.push(PeerEvent::LinkUp { peer });
         }
         Some(events)
     }
 }
 
-/// How long the answer to a message may take, or nothing when there will be none.
-fn answer_within_us(message: &Message) -> Option<u64> {
-    /// How long an entry node may take for its leave, which it gives from memory.
-    const RETRY_GRANT_US: u64 = 1_000_000;
+/// How long the answer to a message may take; `None` if there is no answer.
+fn answer_timeout_us(message: &Message) -> Option<u64> {
+    /// How long an entry node may take to grant or refuse a retry, which it does from memory.
+    const RETRY_GRANT_TIMEOUT_US: u64 = 1_000_000;
     match message {
         Message::Call(call) => Some(call.remaining_us),
         Message::Fence { remaining_us, .. } => Some(*remaining_us),
-        Message::AskRetry { .. } => Some(RETRY_GRANT_US),
+        Message::AskRetry { .. } => Some(RETRY_GRANT_TIMEOUT_US),
         Message::Answer(_)
         | Message::Cancel(_)
         | Message::RetryGrant { .. }
@@ -408,32 +413,32 @@
     }
 }
 
-/// What a received message says about what was sent.
-fn sign_of(message: &Message) -> Sign {
+/// Classifies a received message for the liveness check.
+fn received_kind(message: &Message) -> ReceivedKind {
     match message {
-        Message::Answer(_) | Message::RetryGrant { .. } => Sign::Answer,
-        Message::Pong { .. } => Sign::Pong,
-        _ => Sign::Other,
+        Message::Answer(_) | Message::RetryGrant { .. } => ReceivedKind::Answer,
+        Message::Pong { .. } => ReceivedKind::Pong,
+        _ => ReceivedKind::Other,
     }
 }
 
-/// Carries out what [`Link::step`] found, holding no lock.
-pub(super) fn carry_out(shared: &Arc<Shared>, link: &Arc<Link>, work: Work) {
-    if let Some(open) = work.close {
+/// Performs the actions returned by [`Link::step`], holding no lock.
+pub(super) fn perform(shared: &Arc<Shared>, link: &Arc<Link>, actions: LinkActions) {
+    if let Some(open) = actions.close {
         open.close();
     }
-    for event in work.events {
+    for event in actions.events {
         shared.emit(event);
     }
-    let Some(generation) = work.dial else { return };
+    let Some(generation) = actions.dial else { return };
     let opened = super::dial::dial(shared, link, generation);
     match opened {
         Ok(opened) => {
-            if let Some(unwanted) = link.keep(generation, opened) {
-                unwanted.close();
+            if let Some(unused) = link.adopt_socket(generation, opened) {
+                unused.close();
             }
         }
-        // Out of files or memory: counted as a connection that could not be made.
+        // Out of file descriptors or memory; treated as a failed attempt to connect.
         Err(_) => link.on_closed(shared, generation),
     }
     shared.wake();
--- a/src/duty/peer/liveness.rs
+++ b/src/duty/peer/liveness.rs
@@ -1,20 +1,20 @@
-//! When a connection counts as silent. Pure: it is told the time and reads no clock.
+//! Detects connections that have gone silent. Pure: the time is passed in, no clock is read.
 
 use crate::clock::US_PER_MS;
 
-/// The intervals a connection is watched with.
+/// Ping intervals and the silence timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LivenessSettings {
-    /// How long nothing may be received, while answers are expected, before a ping is sent.
+    /// A ping is sent after this long without receiving anything while answers are expected.
     pub ping_every_us: u64,
     /// The same while no answer is expected.
     pub idle_ping_every_us: u64,
-    /// How long a ping may wait for any sign of life before the connection counts as silent.
+    /// The connection is silent if nothing is received for this long while a ping is unanswered.
     pub silent_after_us: u64,
 }
 
 impl LivenessSettings {
-    /// The same intervals given in milliseconds.
+    /// The settings from values in milliseconds.
     pub fn from_ms(ping_every_ms: u64, idle_ping_every_ms: u64, silent_after_ms: u64) -> Self {
         Self {
             ping_every_us: ping_every_ms * US_PER_MS,
@@ -24,53 +24,53 @@
     }
 }
 
-/// What has to be done for a connection now.
+/// What to do for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Nothing yet.
+pub enum LivenessAction {
+    /// Nothing.
     Wait,
     /// Send a ping with this sequence number.
     Ping(u64),
-    /// The connection carries nothing any more: replace it.
+    /// The connection is silent: replace it.
     Silent,
 }
 
-/// What something that was received says about what was sent.
+/// The kind of a received message, as far as it matters for liveness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
-    /// It answers the latest ping.
+pub enum ReceivedKind {
+    /// The answer to the latest ping.
     Pong,
-    /// It settles a message that was sent.
+    /// The answer to a message that was sent.
     Answer,
-    /// It settles nothing.
+    /// Anything else.
     Other,
 }
 
-/// Watches one connection for silence.
+/// Detects silence on one connection.
 ///
-/// Anything that is received is a sign of life. A ping is sent only when nothing has been received
-/// for a while: soon when answers are expected, seldom otherwise. There is never more than one ping
-/// without its pong under way, so that pongs cannot crowd out replies.
+/// Anything received shows that the connection is alive. A ping is sent only if nothing has been
+/// received for a while: a short while if answers are expected, a long one otherwise. At most one
+/// ping is unanswered at a time, so that pongs cannot crowd out replies.
 #[derive(Clone, Debug)]
 pub struct Liveness {
-    /// The intervals.
+    /// The settings.
     settings: LivenessSettings,
-    /// When something was last received, or the connection was made.
+    /// When something was last received, or the connection was established.
     received_at_us: u64,
-    /// When the latest ping was sent, until its pong comes.
+    /// When the latest ping was sent; `None` once it is answered.
     pinged_at_us: Option<u64>,
     /// The sequence number of the latest ping.
     sequence: u64,
-    /// Messages sent whose answer has not come.
+    /// Messages sent that have not been answered.
     expected: u64,
-    /// When the last of the expected answers is overdue and no longer counts as expected.
+    /// The latest deadline of the expected answers; after it none counts as expected.
     expected_until_us: u64,
-    /// When the watch was last asked.
+    /// When `step` was last called.
     stepped_at_us: u64,
 }
 
 impl Liveness {
-    /// Watches a connection made at `now_us`, beginning with a ping.
+    /// Starts at `now_us`, when the connection was established; the first step sends a ping.
     pub fn new(settings: LivenessSettings, now_us: u64) -> Self {
         Self {
             settings,
@@ -83,24 +83,24 @@
         }
     }
 
-    /// A message was sent that is to be answered within `answer_within_us`.
-    pub fn expect(&mut self, now_us: u64, answer_within_us: u64) {
+    /// Records that a message was sent whose answer is due within `answer_timeout_us`.
+    pub fn expect_answer(&mut self, now_us: u64, answer_timeout_us: u64) {
         if !self.is_expecting(now_us) {
             self.expected = 0;
             self.expected_until_us = 0;
         }
         self.expected += 1;
-        let until_us = now_us.saturating_add(answer_within_us);
+        let until_us = now_us.saturating_add(answer_timeout_us);
         self.expected_until_us = self.expected_until_us.max(until_us);
     }
 
-    /// Something was received.
-    pub fn received(&mut self, now_us: u64, sign: Sign) {
+    /// Records that a message was received.
+    pub fn record_received(&mut self, now_us: u64, kind: ReceivedKind) {
         self.received_at_us = self.received_at_us.max(now_us);
-        match sign {
-            Sign::Pong => self.pinged_at_us = None,
-            Sign::Answer => self.expected = self.expected.saturating_sub(1),
-            Sign::Other => (),
+        match kind {
+            ReceivedKind::Pong => self.pinged_at_us = None,
+            ReceivedKind::Answer => self.expected = self.expected.saturating_sub(1),
+            ReceivedKind::Other => (),
         }
     }
 
@@ -109,40 +109,40 @@
         self.expected > 0 && now_us < self.expected_until_us
     }
 
-    /// What has to be done at `now_us`. A ping that is returned counts as sent, even if it finds no
-    /// room: a connection that takes nothing is silent as well.
-    pub fn step(&mut self, now_us: u64) -> Step {
-        let slept_us = now_us.saturating_sub(self.stepped_at_us);
+    /// Returns what to do at `now_us`. A returned ping counts as sent even if the send queue is
+    /// full: a connection that accepts nothing is silent as well.
+    pub fn step(&mut self, now_us: u64) -> LivenessAction {
+        let step_gap_us = now_us.saturating_sub(self.stepped_at_us);
         self.stepped_at_us = now_us;
         if let Some(pinged_at_us) = self.pinged_at_us {
-            return self.judge(now_us, pinged_at_us, slept_us);
+            return self.check_ping(now_us, pinged_at_us, step_gap_us);
         }
         let is_first = self.sequence == 0;
-        let quiet_us = now_us.saturating_sub(self.received_at_us);
-        if is_first || quiet_us >= self.ping_interval_us(now_us) {
+        let silent_us = now_us.saturating_sub(self.received_at_us);
+        if is_first || silent_us >= self.ping_interval_us(now_us) {
             self.sequence += 1;
             self.pinged_at_us = Some(now_us);
-            return Step::Ping(self.sequence);
+            return LivenessAction::Ping(self.sequence);
         }
-        Step::Wait
+        LivenessAction::Wait
     }
 
-    /// Decides whether the ping sent at `pinged_at_us` has waited long enough.
-    fn judge(&mut self, now_us: u64, pinged_at_us: u64, slept_us: u64) -> Step {
-        let waits_since_us = pinged_at_us.max(self.received_at_us);
-        if now_us.saturating_sub(waits_since_us) < self.settings.silent_after_us {
-            return Step::Wait;
+    /// Decides whether the ping sent at `pinged_at_us` has timed out.
+    fn check_ping(&mut self, now_us: u64, pinged_at_us: u64, step_gap_us: u64) -> LivenessAction {
+        let waiting_since_us = pinged_at_us.max(self.received_at_us);
+        if now_us.saturating_sub(waiting_since_us) < self.settings.silent_after_us {
+            return LivenessAction::Wait;
         }
-        // When this process itself was stopped for a while, the answer may lie unread in the
-        // kernel: the peer gets one more interval.
-        if slept_us >= self.settings.silent_after_us {
+        // If this process itself was paused, the answer may be unread in the kernel's buffer: the
+        // peer gets one more interval.
+        if step_gap_us >= self.settings.silent_after_us {
             self.pinged_at_us = Some(now_us);
-            return Step::Wait;
+            return LivenessAction::Wait;
         }
-        Step::Silent
+        LivenessAction::Silent
     }
 
-    /// How long nothing may be received before a ping is sent.
+    /// How long to wait for received data before a ping is sent.
     fn ping_interval_us(&self, now_us: u64) -> u64 {
         if self.is_expecting(now_us) {
             return self.settings.ping_every_us;
--- a/src/duty/peer/options.rs
+++ b/src/duty/peer/options.rs
@@ -1,4 +1,4 @@
-//! The settings of the transport.
+//! Options of the transport.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,19 +10,19 @@
 use crate::call::{LoadReport, NodeId};
 use crate::clock::US_PER_MS;
 
-/// The longest send ring that nng can hold for a connection.
+/// The largest send queue that nng supports for a connection.
 const RING_MAX_ENTRIES: usize = 8_192;
-/// The longest time that can be set, in milliseconds: a day.
+/// The longest time that can be set, in milliseconds: one day.
 const TIME_MAX_MS: u64 = 86_400_000;
-/// Bytes that a message may have beside its body, when `message_max_bytes` is not set.
+/// Bytes allowed in a message besides its body if `message_max_bytes` is not set.
 const HEAD_MAX_BYTES: usize = 256 << 10;
 
-/// The settings of the transport.
+/// Options of the transport.
 #[derive(Clone, Builder)]
 pub struct PeerOptions {
-    /// Where other nodes connect; the system chooses the port when it is 0.
+    /// The listening address; with port 0 the system chooses the port.
     pub listen: SocketAddr,
-    /// This node.
+    /// The ID of this node.
     pub node: NodeId,
     /// The longest body, in bytes.
     #[builder(default = 8 << 20)]
@@ -30,39 +30,39 @@
     /// The longest encoded message, in bytes. A connection that carries a longer one is closed.
     #[builder(default = body_max_bytes + HEAD_MAX_BYTES)]
     pub message_max_bytes: usize,
-    /// How long nothing may be received while answers are expected before a ping is sent.
+    /// A ping is sent after this long without receiving anything while answers are expected.
     #[builder(default = 200)]
     pub ping_every_ms: u64,
     /// The same while no answer is expected.
     #[builder(default = 5_000)]
     pub idle_ping_every_ms: u64,
-    /// How long a ping may wait for any sign of life before the connection counts as silent.
+    /// The connection is silent if nothing is received for this long while a ping is unanswered.
     #[builder(default = 400)]
     pub silent_after_ms: u64,
-    /// How long making a connection may take; a refused one is not told apart from a slow one.
+    /// The connect timeout; refused connections are not distinguished from slow ones.
     #[builder(default = 250)]
     pub connect_within_ms: u64,
-    /// How long to wait before connecting again after the first failure; it doubles with each.
+    /// The backoff before reconnecting after the first failure; it doubles with each failure.
     #[builder(default = 50)]
     pub redial_after_ms: u64,
-    /// The longest wait before connecting again.
+    /// The longest backoff before reconnecting.
     #[builder(default = 5_000)]
     pub redial_max_ms: u64,
-    /// After this long without anything received, a connection that another node made is closed. It
-    /// must be much longer than the idle pings of the other nodes.
+    /// An inbound connection is closed after this long without receiving anything. It must be much
+    /// longer than the idle ping interval of the other nodes.
     #[builder(default = 60_000)]
     pub inbound_idle_ms: u64,
-    /// How many messages may wait on one connection, in each direction.
+    /// How many messages may be queued per connection, in each direction.
     #[builder(default = 1_024)]
     pub ring_entries: usize,
-    /// The load that pongs report.
+    /// Returns the load that pongs report.
     #[builder(default = Arc::new(LoadReport::default), with = |load: impl Fn() -> LoadReport + Send + Sync + 'static| Arc::new(load))]
     pub load: Arc<dyn Fn() -> LoadReport + Send + Sync>,
 }
 
 impl PeerOptions {
-    /// Refuses settings that cannot work.
-    pub(super) fn check(&self) -> Result<(), PeerError> {
+    /// Rejects options that are out of range.
+    pub(super) fn validate(&self) -> Result<(), PeerError> {
         let times = [
             ("ping_every_ms", self.ping_every_ms),
             ("idle_ping_every_ms", self.idle_ping_every_ms),
@@ -81,13 +81,14 @@
         check_range("message_max_bytes", message_max_bytes, 1, u64::from(u32::MAX))
     }
 
-    /// The intervals that a connection is watched with.
+    /// Ping intervals and the silence timeout of a connection.
     pub(super) fn liveness(&self) -> LivenessSettings {
         LivenessSettings::from_ms(self.ping_every_ms, self.idle_ping_every_ms, self.silent_after_ms)
     }
 
-    /// How often the connections are looked at, in microseconds.
+    /// How often the connections are checked, in microseconds.
     pub(super) fn tick_us(&self) -> u64 {
+        /// Ticks in the shortest configured time.
         const TICKS_IN_INTERVAL: u64 = 4;
         let shortest_ms = self
             .ping_every_ms
@@ -98,7 +99,7 @@
     }
 }
 
-/// Refuses a value outside of a range.
+/// Rejects a value outside the range.
 fn check_range(field: &'static str, value: u64, min: u64, max: u64) -> Result<(), PeerError> {
     if value < min || value > max {
         return Err(PeerError::BadOption { field, value, min, max });
--- a/src/duty/peer/shared.rs
+++ b/src/duty/peer/shared.rs
@@ -1,4 +1,4 @@
-//! What handles, nng's callbacks and the upkeep thread have in common.
+//! State shared by handles, nng's callbacks and the upkeep thread.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,85 +11,85 @@
 use super::envelope;
 use super::error::{PeerError, SendError};
 use super::event::PeerEvent;
+use super::inbound::InboundConnections;
 use super::link::Link;
 use super::options::PeerOptions;
-use super::paths::Paths;
-use super::redial::Redial;
+use super::redial::RedialBackoff;
 use crate::call::{Message, codec};
 use crate::clock::Clock;
 
-/// Is told everything that happens.
-pub(super) type Sink = Box<dyn Fn(PeerEvent) + Send + Sync>;
+/// Receives every event.
+pub(super) type EventSink = Box<dyn Fn(PeerEvent) + Send + Sync>;
 
-/// What handles, nng's callbacks and the upkeep thread have in common.
+/// State shared by handles, nng's callbacks and the upkeep thread.
 pub(super) struct Shared {
-    /// The settings.
+    /// The options.
     pub(super) options: PeerOptions,
-    /// The time.
+    /// The clock.
     pub(super) clock: Clock,
-    /// The connections that other nodes made.
-    pub(super) paths: Paths,
-    /// The connections made to other nodes.
+    /// The inbound connections.
+    pub(super) inbound: InboundConnections,
+    /// The outbound connections.
     links: RwLock<HashMap<SocketAddr, Arc<Link>>>,
-    /// Connections that are no longer wanted, for the upkeep thread to close.
-    forgotten: Mutex<Vec<Arc<Link>>>,
-    /// Wakes the upkeep thread; one waiting wake is enough.
+    /// Outbound connections removed from use, for the upkeep thread to close.
+    removed: Mutex<Vec<Arc<Link>>>,
+    /// Wakes the upkeep thread; holds at most one signal.
     wake: Sender<()>,
-    /// Whether the transport has been told to stop.
-    stopping: AtomicBool,
-    /// Is told everything that happens. No lock may be held while it is called.
-    sink: Sink,
+    /// Whether the transport was told to stop.
+    stop_requested: AtomicBool,
+    /// Receives every event. No lock may be held while it is called.
+    sink: EventSink,
 }
 
 impl Shared {
-    /// Checks the settings and opens the socket for incoming connections, not listening yet.
+    /// Validates the options and opens the socket for inbound connections without listening yet.
     pub(super) fn new(
         options: PeerOptions,
         clock: Clock,
-        sink: Sink,
+        sink: EventSink,
     ) -> Result<(Arc<Self>, Receiver<()>), PeerError> {
-        options.check()?;
-        let paths = Paths::new(&options)
+        options.validate()?;
+        let inbound = InboundConnections::new(&options)
             .map_err(|cause| PeerError::Listen { listen: options.listen, cause })?;
-        let (wake, wakes) = bounded(1);
+        let (wake, wake_receiver) = bounded(1);
         let shared = Self {
             options,
             clock,
-            paths,
+            inbound,
             links: RwLock::default(),
-            forgotten: Mutex::default(),
+            removed: Mutex::default(),
             wake,
-            stopping: AtomicBool::new(false),
+            stop_requested: AtomicBool::new(false),
             sink,
         };
-        Ok((Arc::new(shared), wakes))
+        Ok((Arc::new(shared), wake_receiver))
     }
 
-    /// Reports an event. No lock may be held.
+    /// Passes an event to the sink. No lock may be held.
     pub(super) fn emit(&self, event: PeerEvent) {
         (self.sink)(event);
     }
 
-    /// Makes the upkeep thread look at everything now.
+    /// Makes the upkeep thread check all connections now.
     pub(super) fn wake(&self) {
-        // When a wake is waiting already, that one will do.
+        // If the channel is full, a wake-up is pending already.
         let _ = self.wake.try_send(());
     }
 
-    /// Tells the upkeep thread to close everything and end.
-    pub(super) fn begin_stop(&self) {
-        self.stopping.store(true, Ordering::SeqCst);
+    /// Tells the upkeep thread to close everything and exit.
+    pub(super) fn request_stop(&self) {
+        self.stop_requested.store(true, Ordering::SeqCst);
         self.wake();
     }
 
-    /// Whether the transport has been told to stop.
-    pub(super) fn is_stopping(&self) -> bool {
-        self.stopping.load(Ordering::SeqCst)
+    /// Whether the transport was told to stop.
+    pub(super) fn is_stop_requested(&self) -> bool {
+        self.stop_requested.load(Ordering::SeqCst)
     }
 
-    /// Refuses to send once the transport has been told to stop.
-    pub(super) fn check_running(&self) -> Result<(), SendError> {
-        if self.is_stopping() {
+    /// Returns an error once the transport was told to stop.
+    pub(super) fn ensure_running(&self) -> Result<(), SendError> {
+        if self.is_stop_requested() {
             return Err(SendError::Stopped);
         }
         Ok(())
@@ -105,7 +105,7 @@
         Ok(envelope::wrap_message(&encoded))
     }
 
-    /// The connection to `peer`; where there is none, the upkeep thread is told to make one.
+    /// The connection to `peer`; if there is none, one is added for the upkeep thread to dial.
     pub(super) fn link(&self, peer: SocketAddr) -> Arc<Link> {
         let links = self.links.read().unwrap_or_else(PoisonError::into_inner);
         if let Some(link) = links.get(&peer) {
@@ -119,10 +119,11 @@
         link
     }
 
-    /// A connection to `peer` that has not been made yet.
+    /// A link to `peer` that is not connected yet.
     fn new_link(&self, peer: SocketAddr) -> Link {
         let options = &self.options;
-        let redial = Redial::new(options.node, options.redial_after_ms, options.redial_max_ms);
+        let redial =
+            RedialBackoff::new(options.node, options.redial_after_ms, options.redial_max_ms);
         Link::new(peer, redial)
     }
 
@@ -131,24 +132,23 @@
         let mut links = self.links.write().unwrap_or_else(PoisonError::into_inner);
         let Some(link) = links.remove(&peer) else { return };
         drop(links);
-        lock(&self.forgotten).push(link);
+        lock(&self.removed).push(link);
         self.wake();
     }
 
-    /// The connections to be closed for good.
-    pub(super) fn take_forgotten(&self) -> Vec<Arc<Link>> {
-        std::mem::take(&mut *lock(&self.forgotten))
+    /// Takes the connections that are to be closed permanently.
+    pub(super) fn take_removed(&self) -> Vec<Arc<Link>> {
+        std::mem::take(&mut *lock(&self.removed))
     }
 
-    /// All connections in use.
+    /// All outbound connections in use.
     pub(super) fn all_links(&self) -> Vec<Arc<Link>> {
         let links = self.links.read().unwrap_or_else(PoisonError::into_inner);
         links.values().cloned().collect()
     }
 }
 
-/// Locks; what a panicking thread left behind is used as it is, since a panic in a callback of nng
-/// ends the process anyway.
+/// Locks a mutex, ignoring poisoning: a panic in an nng callback aborts the process anyway.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/duty/peer/upkeep.rs
+++ b/src/duty/peer/upkeep.rs
@@ -1,4 +1,4 @@
-//! The thread that watches the connections.
+//! The thread that monitors the connections.
 
 use std::sync::Arc;
 use std::thread::{Builder, JoinHandle};
@@ -6,45 +6,48 @@
 
 use crossbeam_channel::Receiver;
 
-use super::link::carry_out;
+use super::link::perform;
 use super::shared::Shared;
 use crate::clock::US_PER_MS;
 
-/// Starts the thread. It looks at everything when it is woken, and at every tick.
-pub(super) fn spawn(shared: Arc<Shared>, wakes: Receiver<()>) -> std::io::Result<JoinHandle<()>> {
-    Builder::new().name("peer-upkeep".to_owned()).spawn(move || run(&shared, &wakes))
+/// Starts the thread. It checks all connections at every tick and whenever it is woken.
+pub(super) fn spawn(
+    shared: Arc<Shared>,
+    wake_receiver: Receiver<()>,
+) -> std::io::Result<JoinHandle<()>> {
+    Builder::new().name("peer-upkeep".to_owned()).spawn(move || run(&shared, &wake_receiver))
 }
 
 /// Runs until the transport is told to stop.
-fn run(shared: &Arc<Shared>, wakes: &Receiver<()>) {
+fn run(shared: &Arc<Shared>, wake_receiver: &Receiver<()>) {
     let tick = Duration::from_micros(shared.options.tick_us());
-    while !shared.is_stopping() {
-        // Whether it was woken or the tick has passed makes no difference.
-        let _ = wakes.recv_timeout(tick);
-        pass(shared);
+    while !shared.is_stop_requested() {
+        // A wake-up and a timeout are treated alike.
+        let _ = wake_receiver.recv_timeout(tick);
+        check_connections(shared);
     }
     for link in shared.all_links() {
         shared.forget(link.peer());
     }
-    retire_forgotten(shared);
+    close_removed(shared);
 }
 
-/// Looks at every connection once.
-fn pass(shared: &Arc<Shared>) {
-    retire_forgotten(shared);
+/// Checks every connection once.
+fn check_connections(shared: &Arc<Shared>) {
+    close_removed(shared);
     let now_us = shared.clock.now_us();
     for link in shared.all_links() {
-        let work = link.step(shared, now_us);
-        carry_out(shared, &link, work);
+        let actions = link.step(shared, now_us);
+        perform(shared, &link, actions);
     }
     let inbound_idle_us = shared.options.inbound_idle_ms * US_PER_MS;
-    shared.paths.sweep(now_us.saturating_sub(inbound_idle_us));
+    shared.inbound.flush_and_close_idle(now_us.saturating_sub(inbound_idle_us));
 }
 
-/// Closes the connections that are no longer wanted.
-fn retire_forgotten(shared: &Arc<Shared>) {
-    for link in shared.take_forgotten() {
-        let work = link.retire();
-        carry_out(shared, &link, work);
+/// Closes the connections that were removed from use.
+fn close_removed(shared: &Arc<Shared>) {
+    for link in shared.take_removed() {
+        let actions = link.retire();
+        perform(shared, &link, actions);
     }
 }
--- a/tests/peer/frames.rs
+++ b/tests/peer/frames.rs
@@ -1,4 +1,4 @@
-//! Frames that no node of ours sends.
+//! Tests malformed frames, which no correct node sends.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,16 +7,16 @@
 
 use crate::support::{Options, call, loopback, options, start};
 
-/// What a REQ socket says first, by the SP protocol over TCP.
-const GREETING_OF_REQ: [u8; 8] = [0, b'S', b'P', 0, 0, 0x30, 0, 0];
-/// What a REP socket says first.
-pub const GREETING_OF_REP: [u8; 8] = [0, b'S', b'P', 0, 0, 0x31, 0, 0];
-/// The header of a request, and so of its reply.
+/// The first bytes sent by a REQ socket, by the SP protocol over TCP.
+const REQ_HANDSHAKE: [u8; 8] = [0, b'S', b'P', 0, 0, 0x30, 0, 0];
+/// The first bytes sent by a REP socket.
+pub const REP_HANDSHAKE: [u8; 8] = [0, b'S', b'P', 0, 0, 0x31, 0, 0];
+/// The header of a request and of its reply.
 const REQUEST_WORD: [u8; 4] = [0x80, 0, 0, 1];
 /// The longest message of these tests.
 const MESSAGE_MAX_BYTES: usize = 4_096;
 
-/// A frame as it goes over TCP: its length, the header and the content.
+/// A frame as sent over TCP: length, header and content.
 fn frame(content: &[u8]) -> Vec<u8> {
     let length = (REQUEST_WORD.len() + content.len()) as u64;
     let mut bytes = length.to_be_bytes().to_vec();
@@ -25,39 +25,39 @@
     bytes
 }
 
-/// Frames that must close the connection they come on.
+/// Invalid frames, which must close their connection.
 fn bad_frames() -> Vec<(&'static str, Vec<u8>)> {
     const MESSAGE: u8 = 0;
-    const CONFIRM: u8 = 1;
-    let mut endless = u64::MAX.to_be_bytes().to_vec();
-    endless.extend(REQUEST_WORD);
+    const ACKNOWLEDGE: u8 = 1;
+    let mut huge = u64::MAX.to_be_bytes().to_vec();
+    huge.extend(REQUEST_WORD);
     vec![
         ("empty", frame(&[])),
         ("of an unknown kind", frame(&[9, 1, 2, 3])),
         ("of an unknown version", frame(&[MESSAGE, 77, 0])),
         ("a message cut short", frame(&[MESSAGE, 1, 0, 5, 5])),
         ("a ping with a tail", frame(&[MESSAGE, 1, 7, 1, 1, 0xff])),
-        ("a short confirmation", frame(&[CONFIRM, 0, 0, 1])),
-        ("a confirmation of replies never sent", frame(&[CONFIRM, 0, 0, 0, 0, 0, 0, 0, 1])),
+        ("a short acknowledgement", frame(&[ACKNOWLEDGE, 0, 0, 1])),
+        ("an acknowledgement of replies never sent", frame(&[ACKNOWLEDGE, 0, 0, 0, 0, 0, 0, 0, 1])),
         ("over-long", frame(&vec![0; MESSAGE_MAX_BYTES + 1_024])),
-        ("endless", endless),
+        ("with the greatest length", huge),
     ]
 }
 
-/// Connects as a node would.
-fn greet(server: SocketAddr) -> TcpStream {
+/// Connects and completes the handshake of a REQ socket.
+fn connect_as_req(server: SocketAddr) -> TcpStream {
     let mut stream = TcpStream::connect(server).expect("the server listens");
-    stream.write_all(&GREETING_OF_REQ).expect("the server reads");
-    let mut greeting = [0; GREETING_OF_REP.len()];
-    stream.read_exact(&mut greeting).expect("the server greets");
-    assert_eq!(greeting, GREETING_OF_REP);
+    stream.write_all(&REQ_HANDSHAKE).expect("the server reads");
+    let mut handshake = [0; REP_HANDSHAKE.len()];
+    stream.read_exact(&mut handshake).expect("the server sends its handshake");
+    assert_eq!(handshake, REP_HANDSHAKE);
     stream
 }
 
-/// Reads until the other end closes; returns what came.
+/// Reads until the other end closes and returns the bytes received.
 fn read_to_close(mut stream: TcpStream) -> Vec<u8> {
     let mut received = Vec::new();
-    // A reset is as good an end as any.
+    // A connection reset is accepted as well.
     let _ = stream.read_to_end(&mut received);
     received
 }
@@ -66,16 +66,16 @@
 fn a_listener_closes_a_connection_with_a_bad_frame() {
     let server = start(Options { message_max_bytes: MESSAGE_MAX_BYTES, ..options(1) });
     for (what, bytes) in bad_frames() {
-        let mut stream = greet(server.address());
+        let mut stream = connect_as_req(server.address());
         stream.write_all(&bytes).expect("the server reads or closes");
         assert_eq!(read_to_close(stream), b"", "a frame {what}");
     }
-    let mut cut = greet(server.address());
-    cut.write_all(&frame(&[0; 100])[..50]).expect("the server reads");
-    drop(cut);
+    let mut truncated = connect_as_req(server.address());
+    truncated.write_all(&frame(&[0; 100])[..50]).expect("the server reads");
+    drop(truncated);
     let caller = start(options(2));
     let good = call(2, 1);
-    caller.send_patiently(server.address(), &good);
+    caller.send_with_retry(server.address(), &good);
     let (_, first) = server.collect_requests(1).remove(0);
     assert_eq!(first, good, "no bad frame became a request");
 }
@@ -88,7 +88,7 @@
         let caller = start(Options { message_max_bytes: MESSAGE_MAX_BYTES, ..options(1) });
         caller.handle().connect(address);
         let (mut stream, _) = listener.accept().expect("the caller connects");
-        stream.write_all(&GREETING_OF_REP).expect("the caller reads");
+        stream.write_all(&REP_HANDSHAKE).expect("the caller reads");
         stream.write_all(&bytes).expect("the caller reads or closes");
         let event = caller.wait_for(what, |_| true);
         assert_eq!(event, PeerEvent::LinkLost { peer: address }, "a frame {what}");
@@ -97,7 +97,7 @@
     }
 }
 
-/// The crate panics, which ends the process, when a connection is closed that has closed already.
+/// The nng crate panics, which aborts the process, on closing a connection that is already closed.
 #[test]
 fn a_connection_that_closes_while_it_is_refused_does_no_harm() {
     const CALLERS: usize = 4;
@@ -108,8 +108,8 @@
         for _ in 0..CALLERS {
             scope.spawn(move || {
                 for _ in 0..CONNECTIONS {
-                    let mut stream = greet(address);
-                    // The second one may find the connection closed.
+                    let mut stream = connect_as_req(address);
+                    // The connection may be closed before the second one.
                     let _ = stream.write_all(&frame(&[9]));
                     let _ = stream.write_all(&frame(&[9]));
                 }
--- a/tests/peer/library.rs
+++ b/tests/peer/library.rs
@@ -1,4 +1,4 @@
-//! What nng itself does, as far as the design of the transport rests on it.
+//! Tests the behaviour of nng that the design of the transport depends on.
 
 use std::sync::mpsc;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 use nng::options::{Options, ReconnectMinTime, RecvTimeout, SendBufferSize};
 use nng::{Listener, Message, Protocol, RawSocket, Socket};
 
-/// How long to wait for something that must come.
-const PATIENCE: Option<Duration> = Some(Duration::from_secs(60));
+/// How long to wait for an expected message.
+const WAIT_TIMEOUT: Option<Duration> = Some(Duration::from_secs(60));
 
-/// Listens on loopback. Returns the URL.
+/// Listens on loopback and returns the URL.
 fn listen(socket: &Socket) -> String {
     let listener = Listener::new(socket, "tcp://127.0.0.1:0").expect("loopback has a free port");
     let port = listener.get_opt::<BoundPort>().expect("a listener has a port");
@@ -18,7 +18,7 @@
 }
 
 /// A raw REP socket drops replies that do not fit into a connection's queue: the reason for the
-/// window. When this fails, nng has changed and the window may go.
+/// reply window. If this fails, nng has changed and the window may be removed.
 #[test]
 fn a_raw_rep_socket_drops_replies() {
     const REPLIES: u32 = 512;
@@ -40,7 +40,7 @@
     assert!(arrived < REPLIES as usize, "all {arrived} replies arrived");
 }
 
-/// A cooked REQ socket sends a request again to the next listener: the reason for raw sockets.
+/// A cooked REQ socket resends a request to the next listener: the reason for raw sockets.
 #[test]
 fn a_cooked_req_socket_repeats_requests() {
     let first = Socket::new(Protocol::Rep0).expect("a socket");
@@ -52,13 +52,13 @@
     assert_eq!(first.recv().expect("the request").as_slice(), b"pay");
     first.close();
     let second = Socket::new(Protocol::Rep0).expect("a socket");
-    second.set_opt::<RecvTimeout>(PATIENCE).expect("a timeout can be set");
+    second.set_opt::<RecvTimeout>(WAIT_TIMEOUT).expect("a timeout can be set");
     second.listen(&url).expect("the port is free again");
     assert_eq!(second.recv().expect("the request again").as_slice(), b"pay");
 }
 
-/// A raw REQ socket keeps what it could not send and sends it on its next connection: the reason
-/// why a socket of ours may have only one.
+/// A raw REQ socket sends what is left in its queue on its next connection: the reason why each
+/// socket of the transport may have only one.
 #[test]
 fn a_raw_req_socket_sends_its_queue_on_the_next_connection() {
     let (opened, opens) = mpsc::channel();
@@ -75,9 +75,9 @@
     let url = format!("tcp://{}", silent.local_addr().expect("it is bound"));
     client.dial_async(&url).expect("the address is valid");
     let (mut connection, _) = silent.accept().expect("the client connects");
-    std::io::Write::write_all(&mut connection, &crate::frames::GREETING_OF_REP).expect("greeting");
+    std::io::Write::write_all(&mut connection, &crate::frames::REP_HANDSHAKE).expect("handshake");
     opens.recv().expect("the connection opens");
-    // More than the buffers of the connection hold, so that the last ones stay in the socket.
+    // More than the buffers of the connection can hold, so that the last ones stay in the socket.
     let is_full = (0..10_000_u32).any(|number| {
         let mut request = Message::from(&[0_u8; 65_536][..]);
         request.as_mut_header().push_back(&(number | 0x8000_0000).to_be_bytes());
@@ -86,7 +86,7 @@
     assert!(is_full);
     drop((connection, silent));
     let server = RawSocket::new(Protocol::Rep0).expect("a socket").socket;
-    server.set_opt::<RecvTimeout>(PATIENCE).expect("a timeout can be set");
+    server.set_opt::<RecvTimeout>(WAIT_TIMEOUT).expect("a timeout can be set");
     server.listen(&url).expect("the port is free again");
     server.recv().expect("what was queued");
 }
--- a/tests/peer/silence.rs
+++ b/tests/peer/silence.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent while new ones work.
+//! Tests connections that go silent while new ones work.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -12,7 +12,7 @@
 use aspenspring::call::Message;
 use aspenspring::duty::peer::{PeerEvent, SendError};
 
-/// Bytes that the first connection carries in each direction before it goes silent for good.
+/// Bytes forwarded in each direction on the first connection before it goes silent permanently.
 #[derive(Clone, Copy, Debug)]
 struct Limits {
     /// From the caller to the server.
@@ -22,28 +22,28 @@
 }
 
 /// No limit.
-const ENDLESS: usize = usize::MAX;
+const UNLIMITED: usize = usize::MAX;
 
-/// Starts to forward connections to `server`. Only the first one has limits; later ones work.
-fn forward(server: SocketAddr, first: Limits) -> SocketAddr {
+/// Starts a proxy to `server`. Only its first connection has limits; later ones work.
+fn start_proxy(server: SocketAddr, first: Limits) -> SocketAddr {
     let listener = TcpListener::bind(loopback(0)).expect("loopback has a free port");
     let address = listener.local_addr().expect("a bound socket has an address");
     let connections = Arc::new(AtomicUsize::new(0));
     std::thread::spawn(move || {
         for caller in listener.incoming() {
             let is_first = connections.fetch_add(1, Ordering::SeqCst) == 0;
-            let endless = Limits { up_bytes: ENDLESS, down_bytes: ENDLESS };
-            let limits = if is_first { first } else { endless };
+            let unlimited = Limits { up_bytes: UNLIMITED, down_bytes: UNLIMITED };
+            let limits = if is_first { first } else { unlimited };
             let (Ok(caller), Ok(server)) = (caller, TcpStream::connect(server)) else { continue };
-            carry(&caller, &server, limits.up_bytes);
-            carry(&server, &caller, limits.down_bytes);
+            copy_bytes(&caller, &server, limits.up_bytes);
+            copy_bytes(&server, &caller, limits.down_bytes);
         }
     });
     address
 }
 
-/// Carries up to `limit_bytes`, then keeps both ends open and carries nothing more.
-fn carry(from: &TcpStream, to: &TcpStream, limit_bytes: usize) {
+/// Forwards up to `limit_bytes`, then keeps both ends open but forwards nothing more.
+fn copy_bytes(from: &TcpStream, to: &TcpStream, limit_bytes: usize) {
     let mut from = from.try_clone().expect("a socket can be cloned");
     let mut to = to.try_clone().expect("a socket can be cloned");
     std::thread::spawn(move || {
@@ -65,7 +65,7 @@
     });
 }
 
-/// Answers every request that has come, and counts them.
+/// Answers every request received so far and counts them by sequence number.
 fn serve(server: &Node, seen: &mut HashMap<u64, usize>) {
     for event in server.events_so_far() {
         let PeerEvent::Request { path, message } = event else { continue };
@@ -76,15 +76,16 @@
     }
 }
 
-/// Makes calls through a connection that goes silent, until one made after `LinkLost` is answered.
-fn survive(limits: Limits) {
+/// Makes calls through a connection that goes silent until one made after `LinkLost` is answered.
+/// No call may arrive twice.
+fn check_replacement(limits: Limits) {
     let server = start(options(1));
-    let address = forward(server.address(), limits);
+    let address = start_proxy(server.address(), limits);
     let caller = start(Options { silent_after_ms: 150, connect_within_ms: 150, ..options(2) });
     let mut seen = HashMap::new();
     let mut sequence = 0;
     let mut lost_at = None;
-    caller.until(|| {
+    caller.poll_until(|| {
         sequence += 1;
         let _ = caller.handle().send(address, &call(2, sequence));
         serve(&server, &mut seen);
@@ -105,14 +106,15 @@
     assert!(seen.values().all(|&count| count == 1), "{limits:?}: a call arrived twice");
 }
 
-/// Within nng's greeting (8 bytes), at its end, within a frame's head, its body and later frames.
+/// Within nng's handshake (8 bytes), at its end, within a frame's header, its body and later
+/// frames.
 const POSITIONS: [usize; 9] = [0, 1, 7, 8, 9, 17, 300, 2_500, 30_000];
 
 #[test]
 fn a_connection_that_goes_silent_upwards_is_replaced() {
     std::thread::scope(|scope| {
         for up_bytes in POSITIONS {
-            scope.spawn(move || survive(Limits { up_bytes, down_bytes: ENDLESS }));
+            scope.spawn(move || check_replacement(Limits { up_bytes, down_bytes: UNLIMITED }));
         }
     });
 }
@@ -121,19 +123,19 @@
 fn a_connection_that_goes_silent_downwards_is_replaced() {
     std::thread::scope(|scope| {
         for down_bytes in POSITIONS {
-            scope.spawn(move || survive(Limits { up_bytes: ENDLESS, down_bytes }));
+            scope.spawn(move || check_replacement(Limits { up_bytes: UNLIMITED, down_bytes }));
         }
     });
 }
 
 #[test]
 fn a_full_ring_refuses_at_once_and_what_it_held_never_leaves() {
-    /// Enough for nng's greeting and a few pings.
-    const CARRIED_BYTES: usize = 200;
+    /// Enough for nng's handshake and a few pings.
+    const FORWARDED_BYTES: usize = 200;
     const MANY: u64 = 4_000;
     let server = start(options(1));
     let address =
-        forward(server.address(), Limits { up_bytes: CARRIED_BYTES, down_bytes: ENDLESS });
+        start_proxy(server.address(), Limits { up_bytes: FORWARDED_BYTES, down_bytes: UNLIMITED });
     let caller = start(Options { ring_entries: 16, silent_after_ms: 3_000, ..options(2) });
     caller.handle().connect(address);
     caller.wait_for("link up", |event| matches!(event, PeerEvent::LinkUp { .. }));
@@ -144,7 +146,7 @@
     caller.wait_for("link lost", |event| matches!(event, PeerEvent::LinkLost { .. }));
     caller.wait_for("link up", |event| matches!(event, PeerEvent::LinkUp { .. }));
     let last = call(2, MANY);
-    caller.send_patiently(address, &last);
+    caller.send_with_retry(address, &last);
     let (_, first_to_arrive) = server.collect_requests(1).remove(0);
-    assert_eq!(first_to_arrive, last, "nothing that was queued left later");
+    assert_eq!(first_to_arrive, last, "no queued message was sent later");
 }
--- a/tests/peer/support.rs
+++ b/tests/peer/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of the transport have in common.
+//! Helpers for the tests of the transport.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
@@ -15,42 +15,42 @@
 
 /// The longest body in these tests.
 pub const BODY_MAX_BYTES: usize = 1 << 20;
-/// When a test gives up waiting; far beyond anything that is expected.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// How long a test waits before it fails; much longer than expected.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A running transport whose events wait to be read.
+/// A running transport with a queue of its events.
 pub struct Node {
     /// The transport.
     duty: PeerDuty,
-    /// What it reported.
+    /// The events it reported.
     events: Receiver<PeerEvent>,
 }
 
-/// Settings of one transport.
+/// Options of one transport.
 pub struct Options {
     /// The node's number.
     pub node: u64,
-    /// Where it listens.
+    /// The listening address.
     pub listen: SocketAddr,
-    /// How many messages may wait on a connection.
+    /// How many messages may be queued per connection.
     pub ring_entries: usize,
     /// The longest message, in bytes.
     pub message_max_bytes: usize,
-    /// How long a ping may wait. Long, so that a busy machine is not taken for a silent one.
+    /// The silence timeout. Long by default, so that a busy machine does not count as silent.
     pub silent_after_ms: u64,
-    /// How long connecting may take.
+    /// The connect timeout.
     pub connect_within_ms: u64,
 }
 
 impl Options {
-    /// Listens at a given address.
+    /// Sets the listening address.
     pub fn listen_at(mut self, listen: SocketAddr) -> Self {
         self.listen = listen;
         self
     }
 }
 
-/// The usual settings of node `number`.
+/// The default options of node `number`.
 pub fn options(number: u64) -> Options {
     Options {
         node: number,
@@ -65,11 +65,11 @@
 /// Starts a transport.
 pub fn start(options: Options) -> Node {
     let (_, open_gate) = bounded(0);
-    start_held_up(options, open_gate)
+    start_blocked(options, open_gate)
 }
 
-/// Starts a transport that takes in nothing before the other end of `gate` is dropped.
-pub fn start_held_up(options: Options, gate: Receiver<()>) -> Node {
+/// Starts a transport whose sink blocks until the other end of `gate` is dropped.
+pub fn start_blocked(options: Options, gate: Receiver<()>) -> Node {
     let (sender, events) = unbounded();
     let settings = PeerOptions::builder()
         .listen(options.listen)
@@ -91,7 +91,7 @@
 }
 
 impl Node {
-    /// Where it listens.
+    /// The listening address.
     pub fn address(&self) -> SocketAddr {
         self.duty.address()
     }
@@ -111,19 +111,19 @@
         self.events.try_iter().collect()
     }
 
-    /// Sends, again while the ring is full.
-    pub fn send_patiently(&self, peer: SocketAddr, message: &Message) {
-        self.until(|| match self.handle().send(peer, message) {
+    /// Sends a message, retrying while the send queue is full.
+    pub fn send_with_retry(&self, peer: SocketAddr, message: &Message) {
+        self.poll_until(|| match self.handle().send(peer, message) {
             Ok(()) => Some(()),
             Err(SendError::RingFull) => None,
             Err(error) => panic!("{error}"),
         });
     }
 
-    /// Tries until there is a result.
-    pub fn until<T>(&self, mut attempt: impl FnMut() -> Option<T>) -> T {
+    /// Calls `attempt` until it returns a result.
+    pub fn poll_until<T>(&self, mut attempt: impl FnMut() -> Option<T>) -> T {
         const PAUSE: Duration = Duration::from_millis(1);
-        let tries = PATIENCE.as_millis() / PAUSE.as_millis();
+        let tries = WAIT_TIMEOUT.as_millis() / PAUSE.as_millis();
         for _ in 0..tries {
             if let Some(result) = attempt() {
                 return result;
@@ -133,9 +133,9 @@
         panic!("no result in a very long time");
     }
 
-    /// Waits for the first event that `is_wanted`; the ones before it are thrown away.
+    /// Waits for the first event that `is_wanted`; earlier ones are discarded.
     pub fn wait_for(&self, what: &str, is_wanted: impl Fn(&PeerEvent) -> bool) -> PeerEvent {
-        let give_up_at = Instant::now() + PATIENCE;
+        let give_up_at = Instant::now() + WAIT_TIMEOUT;
         loop {
             let event = self.events.recv_deadline(give_up_at);
             let event = event.unwrap_or_else(|_| panic!("no {what} in a very long time"));
@@ -178,13 +178,13 @@
     NodeId(number)
 }
 
-/// A port of loopback.
+/// A loopback address with this port.
 pub fn loopback(port: u16) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, port))
 }
 
-/// An address at which nobody listens.
-pub fn free_address() -> SocketAddr {
+/// An address on which nothing listens.
+pub fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind(loopback(0)).expect("loopback has a free port");
     listener.local_addr().expect("a bound socket has an address")
 }
