--- a/examples/peer_bench.rs
+++ b/examples/peer_bench.rs
@@ -13,7 +13,7 @@
     LoadReport, Message, NodeId, RootId, TraceContext, Verdict,
 };
 use aspenspring::clock::Clock;
-use aspenspring::duty::peer::{self, PeerDuty, PeerEvent, PeerOptions};
+use aspenspring::duty::peer::{self, PeerEvent, PeerOptions, PeerTransport};
 use crossbeam_channel::{Receiver, bounded};
 use eyre::{Result, WrapErr, bail, eyre};
 
@@ -37,7 +37,7 @@
 }
 
 /// Starts a transport that sends its events to a bounded channel.
-fn start(number: u64) -> Result<(PeerDuty, Receiver<PeerEvent>)> {
+fn start(number: u64) -> Result<(PeerTransport, Receiver<PeerEvent>)> {
     const CHANNEL_ENTRIES: usize = 4_096;
     let (sender, events) = bounded(CHANNEL_ENTRIES);
     let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
@@ -45,15 +45,15 @@
     let sink = move |event| {
         let _ = sender.send(event);
     };
-    let duty = peer::start(options, Clock::start(), sink)?;
-    Ok((duty, events))
+    let transport = peer::start(options, Clock::start(), sink)?;
+    Ok((transport, events))
 }
 
 /// Answers calls until it is killed.
 fn serve() -> Result<()> {
-    let (duty, events) = start(1)?;
-    println!("{}", duty.address());
-    let handle = duty.handle();
+    let (transport, events) = start(1)?;
+    println!("{}", transport.address());
+    let handle = transport.handle();
     for event in events {
         let PeerEvent::Request { path, message: Message::Call(call) } = event else { continue };
         handle.reply(path, &answer(call.attempt))?;
@@ -64,8 +64,8 @@
 /// Measures round trips to a server.
 fn measure(server: SocketAddr) -> Result<()> {
     println!("before: {}", process());
-    let (duty, events) = start(2)?;
-    let handle = duty.handle();
+    let (transport, events) = start(2)?;
+    let handle = transport.handle();
     handle.connect(server);
     loop {
         if matches!(events.recv_timeout(WAIT_TIMEOUT)?, PeerEvent::LinkUp { .. }) {
@@ -73,9 +73,9 @@
         }
     }
     for outstanding in [1, 64, 512] {
-        run(&duty, &events, server, outstanding, WARM_UP_CALLS)?;
+        run(&transport, &events, server, outstanding, WARM_UP_CALLS)?;
         let started = Instant::now();
-        let mut times = run(&duty, &events, server, outstanding, MEASURED_CALLS)?;
+        let mut times = run(&transport, &events, server, outstanding, MEASURED_CALLS)?;
         let seconds = started.elapsed().as_secs_f64();
         times.sort_unstable();
         let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
@@ -92,13 +92,13 @@
 
 /// Makes `count` calls, `outstanding` at a time. Returns the round-trip time of each.
 fn run(
-    duty: &PeerDuty,
+    transport: &PeerTransport,
     events: &Receiver<PeerEvent>,
     server: SocketAddr,
     outstanding: u64,
     count: u64,
 ) -> Result<Vec<Duration>> {
-    let handle = duty.handle();
+    let handle = transport.handle();
     let mut started = vec![Instant::now(); count as usize];
     let mut times = Vec::with_capacity(count as usize);
     let mut next = 0;
--- a/src/duty/decider.rs
+++ b/src/duty/decider.rs
@@ -262,7 +262,7 @@
                 // A reply that cannot be sent is settled by the sender's own deadline or fence.
                 let _ = self.hands.peers.reply(path, &message);
             }
-            NodeAction::Forget { peer } => self.hands.peers.forget(peer),
+            NodeAction::Forget { peer } => self.hands.peers.disconnect(peer),
             NodeAction::RunTarget(call) => {
                 let attempt = call.attempt;
                 if self.hands.target.run(*call).is_err() {
--- a/src/duty/launch.rs
+++ b/src/duty/launch.rs
@@ -25,7 +25,7 @@
 use super::http::{BodyRoom, Gate, Side};
 use super::note::Notes;
 use super::operator::{self, OperatorKey, OperatorOptions};
-use super::peer::{self, PeerDuty, PeerEvent, PeerHandle, PeerOptions, ReturnPath};
+use super::peer::{self, PeerEvent, PeerHandle, PeerOptions, PeerTransport, ReturnPath};
 use super::recorder::{self, Recorder, RecorderDuty};
 use super::store::{self, StoreHandle, StoreOptions};
 use super::target;
@@ -107,7 +107,7 @@
     id: NodeId,
     clock: Clock,
     decider: &DeciderHandle,
-) -> eyre::Result<PeerDuty> {
+) -> eyre::Result<PeerTransport> {
     let options = PeerOptions::builder()
         .listen(own.peer_listen)
         .node(id)
@@ -167,7 +167,7 @@
 }
 
 /// Who the node is in this life.
-fn identity(id: NodeId, clock: Clock, peers: &PeerDuty) -> NodeIdentity {
+fn identity(id: NodeId, clock: Clock, peers: &PeerTransport) -> NodeIdentity {
     NodeIdentity::builder()
         .id(id)
         .peer_address(peers.address())
@@ -200,7 +200,7 @@
     settings: &Settings,
     clock: Clock,
     decider: &DeciderHandle,
-    peers: &PeerDuty,
+    peers: &PeerTransport,
 ) -> eyre::Result<Hands> {
     let (target, target_rings) = target::rings(settings.node.ring_entries);
     target::start(target_rings, clock, decider.clone(), settings.node.body_max_bytes)?;
@@ -270,9 +270,9 @@
 }
 
 /// Gives the last replies time to reach their receivers.
-fn wait_for_replies(peers: &PeerDuty) {
+fn wait_for_replies(peers: &PeerTransport) {
     let until = Instant::now() + REPLIES_WAIT;
-    while peers.unconfirmed_replies() > 0 && Instant::now() < until {
+    while peers.unacknowledged_replies() > 0 && Instant::now() < until {
         std::thread::sleep(WATCH_EVERY);
     }
 }
--- a/src/duty/peer.rs
+++ b/src/duty/peer.rs
@@ -33,7 +33,7 @@
 use shared::Shared;
 
 /// The running transport. Dropping it stops it.
-pub struct PeerDuty {
+pub struct PeerTransport {
     /// State shared by handles, callbacks and the upkeep thread.
     shared: Arc<Shared>,
     /// The thread that monitors the connections, until it has been joined.
@@ -52,7 +52,7 @@
 /// Starts listening and monitoring the connections.
 ///
 /// `sink` receives every event, concurrently from nng's threads and the upkeep thread. It must not
-/// block, and must not call [`PeerDuty::stop`].
+/// block, and must not call [`PeerTransport::stop`].
 ///
 /// # Errors
 ///
@@ -62,14 +62,14 @@
     options: PeerOptions,
     clock: Clock,
     sink: impl Fn(PeerEvent) + Send + Sync + 'static,
-) -> Result<PeerDuty, PeerError> {
+) -> Result<PeerTransport, PeerError> {
     let (shared, wake_receiver) = Shared::new(options, clock, Box::new(sink))?;
     let address = inbound::listen(&shared)?;
     let upkeep = upkeep::spawn(shared.clone(), wake_receiver)?;
-    Ok(PeerDuty { shared, upkeep: Some(upkeep), address })
+    Ok(PeerTransport { shared, upkeep: Some(upkeep), address })
 }
 
-impl PeerDuty {
+impl PeerTransport {
     /// A handle to send with.
     pub fn handle(&self) -> PeerHandle {
         PeerHandle { shared: self.shared.clone() }
@@ -81,7 +81,7 @@
     }
 
     /// Replies accepted for sending that their receivers have not acknowledged.
-    pub fn unconfirmed_replies(&self) -> u64 {
+    pub fn unacknowledged_replies(&self) -> u64 {
         self.shared.inbound.unacknowledged()
     }
 
@@ -100,7 +100,7 @@
     }
 }
 
-impl Drop for PeerDuty {
+impl Drop for PeerTransport {
     fn drop(&mut self) {
         self.stop_once();
     }
@@ -137,7 +137,7 @@
     }
 
     /// Closes the connection to `peer` and does not reconnect until something is sent to it again.
-    pub fn forget(&self, peer: SocketAddr) {
-        self.shared.forget(peer);
+    pub fn disconnect(&self, peer: SocketAddr) {
+        self.shared.disconnect(peer);
     }
 }
--- a/src/duty/peer/error.rs
+++ b/src/duty/peer/error.rs
@@ -56,7 +56,7 @@
     Unreachable,
     /// The connection that the request arrived on has closed.
     #[error("the connection of the request has closed")]
-    PathGone,
+    ConnectionClosed,
     /// The transport has been stopped.
     #[error("the transport has stopped")]
     Stopped,
--- a/src/duty/peer/inbound.rs
+++ b/src/duty/peer/inbound.rs
@@ -130,7 +130,7 @@
     /// Sends a reply, or queues it until the window has room.
     pub(super) fn reply(&self, to: ReturnPath, mut frame: Frame) -> Result<(), SendError> {
         let mut table = lock(&self.table);
-        let connection = table.connections.get_mut(&to.pipe).ok_or(SendError::PathGone)?;
+        let connection = table.connections.get_mut(&to.pipe).ok_or(SendError::ConnectionClosed)?;
         if connection.pending.len() >= self.pending_max {
             return Err(SendError::RingFull);
         }
--- a/src/duty/peer/shared.rs
+++ b/src/duty/peer/shared.rs
@@ -128,7 +128,7 @@
     }
 
     /// Takes the connection to `peer` out of use.
-    pub(super) fn forget(&self, peer: SocketAddr) {
+    pub(super) fn disconnect(&self, peer: SocketAddr) {
         let mut links = self.links.write().unwrap_or_else(PoisonError::into_inner);
         let Some(link) = links.remove(&peer) else { return };
         drop(links);
--- a/src/duty/peer/upkeep.rs
+++ b/src/duty/peer/upkeep.rs
@@ -27,7 +27,7 @@
         check_connections(shared);
     }
     for link in shared.all_links() {
-        shared.forget(link.peer());
+        shared.disconnect(link.peer());
     }
     close_removed(shared);
 }
--- a/tests/peer/delivery.rs
+++ b/tests/peer/delivery.rs
@@ -100,7 +100,7 @@
     caller.stop();
     let reply = answer(attempt_of(&message), 1);
     let refused = server.poll_until(|| server.handle().reply(path, &reply).err());
-    assert_eq!(refused, SendError::PathGone);
+    assert_eq!(refused, SendError::ConnectionClosed);
 }
 
 #[test]
@@ -122,6 +122,6 @@
         for (path, message) in server.collect_requests(1) {
             let _ = server.handle().reply(path, &answer(attempt_of(&message), 1));
         }
-        caller.handle().forget(server.address());
+        caller.handle().disconnect(server.address());
     }
 }
--- a/tests/peer/support.rs
+++ b/tests/peer/support.rs
@@ -9,7 +9,7 @@
 };
 use aspenspring::clock::Clock;
 use aspenspring::duty::peer::{
-    self, PeerDuty, PeerEvent, PeerHandle, PeerOptions, ReturnPath, SendError,
+    self, PeerEvent, PeerHandle, PeerOptions, PeerTransport, ReturnPath, SendError,
 };
 use crossbeam_channel::{Receiver, bounded, unbounded};
 
@@ -21,7 +21,7 @@
 /// A running transport with a queue of its events.
 pub struct Node {
     /// The transport.
-    duty: PeerDuty,
+    transport: PeerTransport,
     /// The events it reported.
     events: Receiver<PeerEvent>,
 }
@@ -86,24 +86,24 @@
         let _ = gate.recv();
         let _ = sender.send(event);
     };
-    let duty = peer::start(settings, Clock::start(), sink).expect("the transport starts");
-    Node { duty, events }
+    let transport = peer::start(settings, Clock::start(), sink).expect("the transport starts");
+    Node { transport, events }
 }
 
 impl Node {
     /// The listening address.
     pub fn address(&self) -> SocketAddr {
-        self.duty.address()
+        self.transport.address()
     }
 
     /// A handle to send with.
     pub fn handle(&self) -> PeerHandle {
-        self.duty.handle()
+        self.transport.handle()
     }
 
     /// Stops it.
     pub fn stop(self) {
-        self.duty.stop();
+        self.transport.stop();
     }
 
     /// All events that have not been read.
