--- a/src/duty/decider.rs
+++ b/src/duty/decider.rs
@@ -265,7 +265,7 @@
                 // If the reply cannot be sent, the sender's deadline or fence settles the attempt.
                 let _ = self.io.peers.reply(path, &message);
             }
-            NodeAction::Forget { peer } => self.io.peers.forget(peer),
+            NodeAction::Forget { peer } => self.io.peers.disconnect(peer),
             NodeAction::RunTarget(call) => {
                 let attempt = call.attempt;
                 if self.io.target.run(*call).is_err() {
--- a/src/duty/launch.rs
+++ b/src/duty/launch.rs
@@ -25,7 +25,7 @@
 use super::http::{BodyBudget, ClientKind, ProxyHandler};
 use super::note::NoteSink;
 use super::operator::{self, OperatorKey, OperatorOptions};
-use super::peer::{self, PeerDuty, PeerEvent, PeerHandle, PeerOptions, ReturnPath};
+use super::peer::{self, PeerEvent, PeerHandle, PeerOptions, PeerTransport, ReturnPath};
 use super::recorder::{self, Recorder, RecorderThread};
 use super::store::{self, StoreHandle, StoreOptions};
 use super::target;
@@ -108,7 +108,7 @@
     id: NodeId,
     clock: Clock,
     decider: &DeciderHandle,
-) -> eyre::Result<PeerDuty> {
+) -> eyre::Result<PeerTransport> {
     let options = PeerOptions::builder()
         .listen(own.peer_listen)
         .node(id)
@@ -168,7 +168,7 @@
 }
 
 /// The identity of the node for the lifetime of this process.
-fn identity(id: NodeId, clock: Clock, peers: &PeerDuty) -> NodeIdentity {
+fn identity(id: NodeId, clock: Clock, peers: &PeerTransport) -> NodeIdentity {
     NodeIdentity::builder()
         .id(id)
         .peer_address(peers.address())
@@ -201,7 +201,7 @@
     settings: &Settings,
     clock: Clock,
     decider: &DeciderHandle,
-    peers: &PeerDuty,
+    peers: &PeerTransport,
 ) -> eyre::Result<IoHandles> {
     let (target, target_rings) = target::rings(settings.node.ring_entries);
     target::start(target_rings, clock, decider.clone(), settings.node.body_max_bytes)?;
@@ -271,9 +271,9 @@
 }
 
 /// Waits until peers have confirmed the last replies, up to a time limit.
-fn drain_replies(peers: &PeerDuty) {
+fn drain_replies(peers: &PeerTransport) {
     let until = Instant::now() + REPLY_DRAIN_TIMEOUT;
-    while peers.unconfirmed_replies() > 0 && Instant::now() < until {
+    while peers.unacknowledged_replies() > 0 && Instant::now() < until {
         std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/src/duty/operator_responder.rs
+++ b/src/duty/operator_responder.rs
@@ -86,14 +86,14 @@
             SubmitReply::Invalid { problems: cause.lines().map(str::to_owned).collect() }
         }
         SubmitOutcome::StoreAway => {
-            SubmitReply::NotAccepted { cause: "the table service is unavailable".to_owned() }
+            SubmitReply::NotAccepted { cause: "the table service is away".to_owned() }
+        }
+        SubmitOutcome::Busy => {
+            SubmitReply::NotAccepted { cause: "another submission is under way here".to_owned() }
+        }
+        SubmitOutcome::Unknown => {
+            SubmitReply::Unknown { cause: "the table service does not tell".to_owned() }
         }
-        SubmitOutcome::Busy => SubmitReply::NotAccepted {
-            cause: "another submission is in progress on this node".to_owned(),
-        },
-        SubmitOutcome::Unknown => SubmitReply::Unknown {
-            cause: "the table service did not report whether the write was applied".to_owned(),
-        },
     }
 }
 
