--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,6 @@
-//! The command line.
+//! Command-line interface: the subcommands, their exit codes and their output.
 //!
-//! Standard output carries what was asked for, standard error what went wrong. The exit codes are
-//! those of `Exit`.
+//! Results go to standard output, diagnostics to standard error. `Exit` lists the exit codes.
 
 mod check;
 mod compare;
@@ -34,11 +33,11 @@
 
 pub use check::CheckArgs;
 pub use compare::CompareArgs;
-pub use completions::{CompletionsArgs, Shell, script};
+pub use completions::{CompletionsArgs, Shell, completion_script};
 pub use explain::ExplainArgs;
 pub use leave::LeaveArgs;
 pub use list::ListArgs;
-pub use manual::{ManualArgs, page};
+pub use manual::{ManualArgs, manual_page};
 pub use mesh::MeshArgs;
 pub use node::NodeArgs;
 pub use replay::ReplayArgs;
@@ -48,78 +47,77 @@
 pub use status::StatusArgs;
 pub use submit::SubmitArgs;
 
-/// The name of the program.
+/// The name of the executable, also used in diagnostics, completions and the manual page.
 pub const PROGRAM: &str = "aspenspring";
-/// The environment variable that holds the operators' key, unless another is named.
+/// The environment variable that holds the operator key if `--key-env` is not given.
 const DEFAULT_KEY_ENV: &str = "ASPENSPRING_OPERATOR_KEY";
 
-/// Overload control for service call graphs: one small node beside each target.
+/// Overload control for service call graphs, with one node process beside each target.
 #[derive(Debug, FromArgs, ArgsInfo)]
 #[argh(
-    error_code(0, "Done."),
-    error_code(1, "Failed: something outside the settings did not work."),
-    error_code(2, "Wrong usage, or settings that were refused."),
-    error_code(3, "Conflict: something newer is in force than what was to be replaced."),
-    error_code(4, "Unknown: a configuration may have been accepted, now or within seconds."),
-    note = "Give {command_name} settings as a base file and the overlays in their order.",
+    error_code(0, "Success."),
+    error_code(1, "Failure, such as a file that cannot be read or a node that does not reply."),
+    error_code(2, "Invalid usage or invalid settings."),
+    error_code(3, "Conflict: another version is in force than the change is based on."),
+    error_code(4, "Unknown: a configuration may have been accepted, or may be within seconds."),
+    note = "Pass {command_name} a base settings file first, then the overlays in order.",
     example = "{command_name} check --settings base.json --settings jordan.json --settings node.json"
 )]
 pub struct Args {
-    /// what to do
+    /// the command to run
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// What to do.
+/// The subcommands.
 #[derive(Debug, FromArgs, ArgsInfo)]
 #[argh(subcommand)]
 pub enum Command {
     /// Run a node.
     Node(NodeArgs),
-    /// Run a node on the users' platform.
+    /// Run a mesh node on the users' platform.
     Mesh(MeshArgs),
     /// Check settings.
     Check(CheckArgs),
-    /// Print effective settings.
+    /// Print the effective settings.
     Settings(SettingsArgs),
     /// Submit a configuration.
     Submit(SubmitArgs),
     /// Show a configuration.
     Show(ShowArgs),
-    /// List configurations.
+    /// List accepted configurations.
     List(ListArgs),
-    /// Show the state of nodes.
+    /// Show the status of nodes.
     Status(StatusArgs),
-    /// Tell a node to leave.
+    /// Drain and stop a node.
     Leave(LeaveArgs),
     /// Compare policy arms.
     Compare(CompareArgs),
-    /// Explain a request from logs.
+    /// Explain the outcome of a request from logs.
     Explain(ExplainArgs),
     /// Replay a recorded trace.
     Replay(ReplayArgs),
-    /// Print the schema of the settings.
+    /// Print the JSON schema of the settings.
     Schema(SchemaArgs),
-    /// Print shell completions.
+    /// Print a shell completion script.
     Completions(CompletionsArgs),
     /// Print the manual page.
     Manual(ManualArgs),
-    /// Run a stand-in.
+    /// Run a test stand-in.
     Standin(StandinArgs),
 }
 
-/// How a command ended.
+/// The exit code of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// It did what it was asked for.
-    Done = 0,
-    /// Something outside the settings did not work.
+    Success = 0,
+    /// Anything not covered by the other codes, such as an unreadable file or a silent node.
     Failed = 1,
-    /// It was called wrongly, or settings were refused.
+    /// Invalid arguments or settings.
     Usage = 2,
-    /// Something newer is in force than what was to be replaced.
+    /// The configuration in force is not the version that the change is based on.
     Conflict = 3,
-    /// Nobody can say whether a configuration was accepted.
+    /// The submission was sent, but whether it was accepted is not known.
     Unknown = 4,
 }
 
@@ -129,36 +127,36 @@
     }
 }
 
-/// Runs the command that the process was started with.
+/// Runs the command given by the process arguments.
 pub fn run_from_env() -> ExitCode {
-    let given: Vec<String> =
-        match std::env::args_os().skip(1).map(|arg| arg.into_string()).collect() {
-            Ok(given) => given,
-            Err(arg) => {
-                eprintln!("{PROGRAM}: the argument {arg:?} is not UTF-8");
-                return Exit::Usage.into();
-            }
-        };
-    let given: Vec<&str> = given.iter().map(String::as_str).collect();
-    let exit = match Args::from_args(&[PROGRAM], &given) {
+    let args: Vec<String> = match std::env::args_os().skip(1).map(|arg| arg.into_string()).collect()
+    {
+        Ok(args) => args,
+        Err(arg) => {
+            eprintln!("{PROGRAM}: argument {arg:?} is not valid UTF-8");
+            return Exit::Usage.into();
+        }
+    };
+    let args: Vec<&str> = args.iter().map(String::as_str).collect();
+    let exit = match Args::from_args(&[PROGRAM], &args) {
         Ok(args) => run(args.command),
-        Err(early) if early.status.is_ok() => {
-            print!("{}", early.output);
-            Exit::Done
+        Err(early_exit) if early_exit.status.is_ok() => {
+            print!("{}", early_exit.output);
+            Exit::Success
         }
-        Err(early) => {
-            eprint!("{}", early.output);
+        Err(early_exit) => {
+            eprint!("{}", early_exit.output);
             Exit::Usage
         }
     };
     exit.into()
 }
 
-/// Runs one command.
+/// Runs `command`. Errors are printed to standard error and give `Exit::Failed`.
 pub fn run(command: Command) -> Exit {
     let result = match command {
         Command::Node(args) => node::run(&args),
-        Command::Mesh(_) => crate::platform::run().map(|()| Exit::Done),
+        Command::Mesh(_) => crate::platform::run().map(|()| Exit::Success),
         Command::Check(args) => check::run(&args),
         Command::Settings(args) => settings::run(&args),
         Command::Submit(args) => submit::run(&args),
@@ -172,7 +170,7 @@
         Command::Schema(args) => schema::run(&args),
         Command::Completions(args) => completions::run(&args),
         Command::Manual(_) => manual::run(),
-        Command::Standin(args) => standin::cli::run(&args).map(|()| Exit::Done),
+        Command::Standin(args) => standin::cli::run(&args).map(|()| Exit::Success),
     };
     result.unwrap_or_else(|error| {
         eprintln!("{PROGRAM}: {error:#}");
@@ -180,32 +178,33 @@
     })
 }
 
-/// Writes to standard output. A reader that has seen enough and closed the pipe is no error.
+/// Writes to standard output. A closed pipe is not an error: the reader may stop early.
 fn print(text: &str) -> eyre::Result<()> {
     match std::io::stdout().lock().write_all(text.as_bytes()) {
         Err(error) if error.kind() != ErrorKind::BrokenPipe => {
-            Err(error).wrap_err("standard output cannot be written")
+            Err(error).wrap_err("cannot write to standard output")
         }
         Ok(()) | Err(_) => Ok(()),
     }
 }
 
-/// Prints a value as JSON.
+/// Prints a value as indented JSON.
 fn print_json(value: &impl Serialize) -> eyre::Result<()> {
     print(&format!("{}\n", serde_json::to_string_pretty(value)?))
 }
 
-/// Reads and checks settings. Where they are refused, says why and gives the exit code.
-fn load(files: &[PathBuf], is_json: bool) -> eyre::Result<Result<Effective, Exit>> {
+/// Loads and validates settings. If they are invalid, reports the problems and returns the exit
+/// code.
+fn load_settings(files: &[PathBuf], is_json: bool) -> eyre::Result<Result<Effective, Exit>> {
     match config::load(files) {
         Ok(effective) => Ok(Ok(effective)),
-        Err(problems) => Ok(Err(refuse(&problems, is_json)?)),
+        Err(problems) => Ok(Err(report_problems(&problems, is_json)?)),
     }
 }
 
-/// Says what is wrong with settings: a line each on standard error, or a list in JSON on standard
+/// Reports problems with settings: one line each on standard error, or a JSON array on standard
 /// output.
-fn refuse(problems: &[Problem], is_json: bool) -> eyre::Result<Exit> {
+fn report_problems(problems: &[Problem], is_json: bool) -> eyre::Result<Exit> {
     if is_json {
         print_json(&problems)?;
         return Ok(Exit::Usage);
@@ -214,6 +213,6 @@
         eprintln!("{problem}");
     }
     let noun = if problems.len() == 1 { "problem" } else { "problems" };
-    eprintln!("{PROGRAM}: {} {noun}; nothing was changed", problems.len());
+    eprintln!("{PROGRAM}: {} {noun}; nothing was applied", problems.len());
     Ok(Exit::Usage)
 }
--- a/src/cli/compare.rs
+++ b/src/cli/compare.rs
@@ -1,4 +1,4 @@
-//! The command `compare`.
+//! The `compare` command: compares the policy arms of recorded runs.
 
 use std::fmt::Write;
 use std::path::PathBuf;
@@ -10,34 +10,36 @@
 use crate::compare::{ArmFigures, CompareOptions, Run, Spread, compare, plot};
 use crate::standin::load::Window;
 
-/// Compare the policy arms of runs: goodput by kind of calls, latency, wasted work, attempts and
-/// recovery, each as the median over the runs with the least and the greatest.
+/// Compare the policy arms of recorded runs: goodput per kind of call, latency, wasted work,
+/// attempts and recovery time, each as the median, minimum and maximum over the runs.
 #[derive(Debug, FromArgs, ArgsInfo)]
 #[argh(subcommand, name = "compare")]
 pub struct CompareArgs {
-    /// a directory with what was kept of a run: records.jsonl, as `standin load --out` writes it,
-    /// and of each node a scrape of its metrics after the run, NAME.prom, and before it,
-    /// NAME.prom.before; may be repeated
+    /// the directory of a run, with records.jsonl as written by `standin load --out` and, for
+    /// each node, a metrics scrape taken after the run, NAME.prom, and optionally one taken before
+    /// it, NAME.prom.before; may be repeated
     #[argh(option)]
     pub run: Vec<PathBuf>,
-    /// count only calls due in this time, as 10s..20s; recovery looks at the whole run
+    /// count only calls scheduled in this window, such as 10s..20s; recovery time always uses the
+    /// whole run
     #[argh(option)]
     pub during: Option<Window>,
-    /// when the trigger of overload was there, as 10s..20s, for the recovery time
+    /// the window in which the overload was triggered, such as 10s..20s; needed for the recovery
+    /// time
     #[argh(option)]
     pub trigger: Option<Window>,
-    /// write a picture of goodput over time to this file (SVG)
+    /// write a plot of goodput over time to this file (SVG)
     #[argh(option)]
     pub plot: Option<PathBuf>,
-    /// print a list in JSON
+    /// print a JSON array
     #[argh(switch)]
     pub json: bool,
 }
 
-/// Compares arms.
+/// Reads the runs, writes the plot if asked for and prints the figures of each arm.
 pub(super) fn run(args: &CompareArgs) -> eyre::Result<Exit> {
     if args.run.is_empty() {
-        eprintln!("Name the directory of a run with --run.");
+        eprintln!("Give at least one run directory with --run.");
         return Ok(Exit::Usage);
     }
     let mut runs = Vec::new();
@@ -46,35 +48,35 @@
     }
     if let Some(file) = &args.plot {
         std::fs::write(file, plot(&runs, args.trigger)?)
-            .wrap_err_with(|| format!("{} cannot be written", file.display()))?;
+            .wrap_err_with(|| format!("cannot write {}", file.display()))?;
     }
     let options = CompareOptions { during: args.during, trigger: args.trigger };
     let figures = compare(&runs, options);
     if args.json {
         print_json(&figures)?;
-        return Ok(Exit::Done);
+        return Ok(Exit::Success);
     }
     print(&table(&figures, runs.len())?)?;
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
 
-/// The figures as lines of text.
+/// Formats the figures as text.
 fn table(figures: &[ArmFigures], runs: usize) -> Result<String, std::fmt::Error> {
     let mut lines = String::new();
     let plural = if runs == 1 { "" } else { "s" };
-    writeln!(lines, "Median over {runs} run{plural} (least to greatest).")?;
+    writeln!(lines, "Median over {runs} run{plural} (minimum to maximum).")?;
     for figure in figures {
-        let arm = if figure.arm.is_empty() { "(not told)" } else { &figure.arm };
+        let arm = if figure.arm.is_empty() { "(unknown)" } else { &figure.arm };
         writeln!(lines, "\narm {arm}, {} calls", figure.kind)?;
-        write_line(&mut lines, "offered", Some(figure.offered), 0)?;
-        write_line(&mut lines, "good a second", Some(figure.goodput_per_s), 1)?;
-        write_line(&mut lines, "good share", Some(figure.good_share), 4)?;
-        write_line(&mut lines, "p50 of good, ms", figure.good_p50_ms, 1)?;
-        write_line(&mut lines, "p99 of good, ms", figure.good_p99_ms, 1)?;
-        write_line(&mut lines, "client attempts", Some(figure.client_attempts), 3)?;
-        write_line(&mut lines, "attempts per root", figure.attempts_per_root, 3)?;
-        write_line(&mut lines, "wasted share", figure.wasted_share, 4)?;
-        write_line(&mut lines, "recovery, ms", figure.recovery_ms, 0)?;
+        write_figure(&mut lines, "offered", Some(figure.offered), 0)?;
+        write_figure(&mut lines, "good per second", Some(figure.goodput_per_s), 1)?;
+        write_figure(&mut lines, "good share", Some(figure.good_share), 4)?;
+        write_figure(&mut lines, "p50 of good, ms", figure.good_p50_ms, 1)?;
+        write_figure(&mut lines, "p99 of good, ms", figure.good_p99_ms, 1)?;
+        write_figure(&mut lines, "client attempts", Some(figure.client_attempts), 3)?;
+        write_figure(&mut lines, "attempts per root", figure.attempts_per_root, 3)?;
+        write_figure(&mut lines, "wasted share", figure.wasted_share, 4)?;
+        write_figure(&mut lines, "recovery, ms", figure.recovery_ms, 0)?;
         if figure.unrecovered > 0 {
             writeln!(lines, "  {:<20} {} of {runs}", "not recovered", figure.unrecovered)?;
         }
@@ -82,8 +84,8 @@
     Ok(lines)
 }
 
-/// Writes one figure, where there is one.
-fn write_line(
+/// Writes the line of one figure; nothing if the figure is absent.
+fn write_figure(
     lines: &mut String,
     name: &str,
     spread: Option<Spread>,
--- a/src/cli/completions.rs
+++ b/src/cli/completions.rs
@@ -1,4 +1,4 @@
-//! The command `completions`.
+//! The `completions` command: prints a completion script for a shell.
 
 use argh::{ArgsInfo, FromArgs};
 use argh_complete::Generator;
@@ -8,23 +8,20 @@
 
 use super::{Args, Exit, PROGRAM};
 
-/// Print completions for a shell.
+/// Print the completion script for a shell.
 #[derive(Debug, FromArgs, ArgsInfo)]
 #[argh(subcommand, name = "completions")]
 pub struct CompletionsArgs {
-    /// bash, zsh or fish
+    /// the shell: bash, zsh or fish
     #[argh(positional)]
     pub shell: Shell,
 }
 
-/// A shell that completions can be made for.
+/// A shell with a completion generator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shell {
-    /// GNU Bash.
     Bash,
-    /// The Z shell.
     Zsh,
-    /// The friendly interactive shell.
     Fish,
 }
 
@@ -36,13 +33,13 @@
             "bash" => Ok(Self::Bash),
             "zsh" => Ok(Self::Zsh),
             "fish" => Ok(Self::Fish),
-            _ => Err("the shells are bash, zsh and fish".to_owned()),
+            _ => Err("expected bash, zsh or fish".to_owned()),
         }
     }
 }
 
-/// The completions for `shell`.
-pub fn script(shell: Shell) -> String {
+/// Generates the completion script for `shell`.
+pub fn completion_script(shell: Shell) -> String {
     let args = Args::get_args_info();
     match shell {
         Shell::Bash => Bash::generate(PROGRAM, &args),
@@ -51,8 +48,7 @@
     }
 }
 
-/// Prints the completions.
 pub(super) fn run(args: &CompletionsArgs) -> eyre::Result<Exit> {
-    super::print(&script(args.shell))?;
-    Ok(Exit::Done)
+    super::print(&completion_script(args.shell))?;
+    Ok(Exit::Success)
 }
--- a/src/cli/manual.rs
+++ b/src/cli/manual.rs
@@ -1,4 +1,4 @@
-//! The command `manual`.
+//! The `manual` command: prints the manual page, generated from the argument definitions.
 
 use std::fmt::Write;
 
@@ -6,17 +6,17 @@
 
 use super::{Args, Exit, PROGRAM};
 
-/// What the page says before it comes to the commands.
-const HEAD: &str = "\
+/// The description section of the page.
+const DESCRIPTION: &str = "\
 .SH DESCRIPTION
 .B aspenspring
-runs beside each target VM as one small process, a node, and decides how calls are retried,
-admitted, prioritised and refused.
+runs as one node process beside each target VM and decides how calls are retried, admitted,
+prioritised and refused.
 .PP
-Settings are JSON: a base file, then any overlays, each stating only what differs.
-Give them in their order, each with its own
+Settings are JSON files: a base file and any number of overlays, each containing only what differs.
+Pass them in order, each with its own
 .BR \\-\\-settings .
-What was asked for goes to standard output, what went wrong to standard error.
+Results go to standard output, diagnostics to standard error.
 ";
 
 /// Print the manual page.
@@ -24,25 +24,24 @@
 #[argh(subcommand, name = "manual")]
 pub struct ManualArgs {}
 
-/// Prints the manual page.
 pub(super) fn run() -> eyre::Result<Exit> {
-    super::print(&page()?)?;
-    Ok(Exit::Done)
+    super::print(&manual_page()?)?;
+    Ok(Exit::Success)
 }
 
-/// The manual page, in the macros of man(7).
+/// Generates the manual page in man(7) markup.
 ///
 /// # Errors
 ///
-/// Never fails as long as a string can grow.
-pub fn page() -> Result<String, std::fmt::Error> {
+/// None in practice: formatting into a `String` does not fail.
+pub fn manual_page() -> Result<String, std::fmt::Error> {
     let args = Args::get_args_info();
     let mut page = String::new();
     let description = escape(args.description.trim_end_matches('.'));
     writeln!(page, ".TH {} 1 \"\" {PROGRAM} \"User Commands\"", PROGRAM.to_uppercase())?;
     writeln!(page, ".SH NAME\n{PROGRAM} \\- {description}")?;
     writeln!(page, ".SH SYNOPSIS\n.B {PROGRAM}\n.I command\n.RI [ options ]")?;
-    page.push_str(HEAD);
+    page.push_str(DESCRIPTION);
     writeln!(page, ".SH COMMANDS")?;
     for command in &args.commands {
         write_command(&mut page, command.name, &command.command)?;
@@ -59,7 +58,7 @@
     Ok(page)
 }
 
-/// Writes the section of a command, then those of the commands below it.
+/// Writes the section of a command, followed by those of its subcommands.
 fn write_command(page: &mut String, name: &str, command: &CommandInfoWithArgs) -> std::fmt::Result {
     writeln!(page, ".SS {name}\n{}", escape(command.description))?;
     for positional in command.positionals {
@@ -68,8 +67,8 @@
     for flag in command.flags {
         write_flag(page, flag)?;
     }
-    for below in &command.commands {
-        write_command(page, &format!("{name} {}", below.name), &below.command)?;
+    for subcommand in &command.commands {
+        write_command(page, &format!("{name} {}", subcommand.name), &subcommand.command)?;
     }
     Ok(())
 }
@@ -99,8 +98,8 @@
     writeln!(page, "{}", escape(flag.description))
 }
 
-/// A text as it is written in a page: dashes and backslashes escaped, and no line that could be
-/// taken for a macro.
+/// Escapes a text for the page: backslashes, dashes, and a leading character that would start a
+/// macro. Newlines become spaces.
 fn escape(text: &str) -> String {
     let text = text.replace('\\', "\\e").replace('-', "\\-").replace('\n', " ");
     if text.starts_with(['.', '\'']) { format!("\\&{text}") } else { text }
--- a/src/cli/node.rs
+++ b/src/cli/node.rs
@@ -1,30 +1,29 @@
-//! The command `node`.
+//! The `node` command: runs a node until it is drained.
 
 use std::path::PathBuf;
 
 use argh::{ArgsInfo, FromArgs};
 
-use super::{Exit, load};
+use super::{Exit, load_settings};
 use crate::duty;
 
-/// Run the node beside one target until it is told to leave.
+/// Run the node beside one target until it is asked to leave.
 #[derive(Debug, FromArgs, ArgsInfo)]
 #[argh(subcommand, name = "node")]
 pub struct NodeArgs {
-    /// a file of settings; the base first, then each overlay
+    /// a settings file; give the base first, then the overlays in order
     #[argh(option)]
     pub settings: Vec<PathBuf>,
-    /// a new file that gets everything the node is told, for `replay`
+    /// record every event that the node handles to this new file, for `replay`
     #[argh(option)]
     pub record: Option<PathBuf>,
 }
 
-/// Runs a node.
 pub(super) fn run(args: &NodeArgs) -> eyre::Result<Exit> {
-    let effective = match load(&args.settings, false)? {
+    let effective = match load_settings(&args.settings, false)? {
         Ok(effective) => effective,
         Err(exit) => return Ok(exit),
     };
     duty::run_node(effective.settings, args.record.as_deref())?;
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
--- a/src/cli/replay.rs
+++ b/src/cli/replay.rs
@@ -1,4 +1,4 @@
-//! The command `replay`.
+//! The `replay` command: replays a recorded trace and checks the result.
 
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
@@ -9,28 +9,27 @@
 use super::{Exit, print, print_json};
 use crate::replay::{Ends, Expectations, Report, replay};
 
-/// Feed what a node was told, as recorded with `node --record`, to a fresh node and print what it
-/// decides.
+/// Replay a trace recorded with `node --record` against a new node and report its decisions.
 #[derive(Debug, FromArgs, ArgsInfo)]
 #[argh(subcommand, name = "replay")]
 pub struct ReplayArgs {
     /// the recorded trace
     #[argh(positional)]
     pub trace: PathBuf,
-    /// a file in JSON with stated outcomes, to be compared
+    /// a JSON file with expectations to check the report against
     #[argh(option)]
     pub expect: Option<PathBuf>,
-    /// print the report in JSON
+    /// print the report as JSON
     #[argh(switch)]
     pub json: bool,
 }
 
-/// Replays a trace.
+/// Replays a trace. The exit code is `Failed` if the trace is invalid or an expectation fails.
 pub(super) fn run(args: &ReplayArgs) -> eyre::Result<Exit> {
     let expected: Option<Expectations> = match &args.expect {
         Some(path) => Some(
             serde_json::from_str(&read(path)?)
-                .wrap_err_with(|| format!("{} states no outcomes", path.display()))?,
+                .wrap_err_with(|| format!("{} is not a valid expectations file", path.display()))?,
         ),
         None => None,
     };
@@ -39,79 +38,81 @@
     if args.json {
         print_json(&report)?;
     } else {
-        print(&page(&report))?;
+        print(&text_report(&report))?;
     }
-    let mut exit = Exit::Done;
+    let mut exit = Exit::Success;
     if let Some(problem) = problem {
-        eprintln!("{}: {problem}; the report stands for what is before it", args.trace.display());
+        eprintln!(
+            "{}: {problem}; the report covers only the lines before it",
+            args.trace.display()
+        );
         exit = Exit::Failed;
     }
-    for difference in expected.iter().map(|expected| expected.differences(&report)) {
-        for sentence in difference? {
-            eprintln!("{}: {sentence}", args.trace.display());
+    for differences in expected.iter().map(|expected| expected.differences(&report)) {
+        for difference in differences? {
+            eprintln!("{}: {difference}", args.trace.display());
             exit = Exit::Failed;
         }
     }
     Ok(exit)
 }
 
-/// Reads a file.
 fn read(path: &Path) -> eyre::Result<String> {
-    std::fs::read_to_string(path).wrap_err_with(|| format!("{} cannot be read", path.display()))
+    std::fs::read_to_string(path).wrap_err_with(|| format!("cannot read {}", path.display()))
 }
 
-/// The report in lines.
-fn page(report: &Report) -> String {
-    let mut page = String::new();
+/// Formats the report as text, one figure per line.
+fn text_report(report: &Report) -> String {
+    let mut text = String::new();
     let figures = [
         ("events", report.events),
         ("microseconds", report.duration_us),
-        ("runs of the target", report.runs),
-        ("of them given up", report.aborted),
-        ("most runs under one key", report.runs_per_key_max),
+        ("target runs", report.runs),
+        ("target runs aborted", report.aborted),
+        ("most runs per idempotency key", report.runs_per_key_max),
         ("attempts sent", report.sent),
-        ("of them extra", report.extra_sent),
-        ("most extra for one root", report.extra_per_root_max),
+        ("extra attempts sent", report.extra_sent),
+        ("most extra attempts per root", report.extra_per_root_max),
         ("unanswered at the end", report.unanswered),
         ("in flight at the end", report.in_flight),
-        ("answers to attempts never made", report.strangers),
+        ("answers to unknown attempts", report.strangers),
         ("answered twice", report.broken.answered_twice),
-        ("not run after a run", report.broken.not_run_after_run),
-        ("not run in doubt", report.broken.not_run_in_doubt),
-        ("timed out in doubt without a run", report.broken.timeout_without_run),
+        ("reported not run after a run", report.broken.not_run_after_run),
+        ("reported not run while in doubt", report.broken.not_run_in_doubt),
+        ("reported in doubt without a run", report.broken.timeout_without_run),
     ];
     for (name, figure) in figures {
-        line(&mut page, name, figure);
+        write_figure(&mut text, name, figure);
     }
     let groups = [
         ("callers", &report.callers),
         ("confirmations", &report.confirmations),
-        ("target's calls", &report.target_calls),
+        ("target calls", &report.target_calls),
         ("other nodes", &report.received),
     ];
-    for (name, ends) in groups {
-        add_ends(&mut page, name, ends);
+    for (name, outcomes) in groups {
+        write_outcomes(&mut text, name, outcomes);
     }
     for (outcome, count) in &report.retries {
-        line(&mut page, &format!("retry: {outcome}"), *count);
+        write_figure(&mut text, &format!("retry: {outcome}"), *count);
     }
     for (second, count) in report.answered_per_s.iter().enumerate() {
-        line(&mut page, &format!("answered to callers in second {second}"), *count);
+        write_figure(&mut text, &format!("callers answered in second {second}"), *count);
     }
-    // Writing to a string has no way to fail.
-    let _ = writeln!(page, "digest {}", report.digest);
-    page
+    // Formatting into a `String` does not fail.
+    let _ = writeln!(text, "digest {}", report.digest);
+    text
 }
 
-/// Adds a line for each verdict and reason.
-fn add_ends(page: &mut String, name: &str, ends: &Ends) {
-    for (reason, count) in &ends.reasons {
-        line(page, &format!("{name}: {reason}"), *count);
+/// Writes a line for each verdict and reason.
+fn write_outcomes(text: &mut String, name: &str, outcomes: &Ends) {
+    for (reason, count) in &outcomes.reasons {
+        write_figure(text, &format!("{name}: {reason}"), *count);
     }
 }
 
-/// Adds one figure.
-fn line(page: &mut String, name: &str, figure: u64) {
-    // Writing to a string has no way to fail.
-    let _ = writeln!(page, "{name:<48} {figure:>12}");
+/// Writes the line of one figure.
+fn write_figure(text: &mut String, name: &str, figure: u64) {
+    // Formatting into a `String` does not fail.
+    let _ = writeln!(text, "{name:<48} {figure:>12}");
 }
--- a/src/cli/schema.rs
+++ b/src/cli/schema.rs
@@ -1,4 +1,4 @@
-//! The command `schema`.
+//! The `schema` command: prints the JSON schema of the settings.
 
 use argh::{ArgsInfo, FromArgs};
 
@@ -9,14 +9,13 @@
 #[derive(Debug, FromArgs, ArgsInfo)]
 #[argh(subcommand, name = "schema")]
 pub struct SchemaArgs {
-    /// print the schema of the rules of one site alone
+    /// print only the schema of the rules of one site
     #[argh(switch)]
     pub rules: bool,
 }
 
-/// Prints the schema.
 pub(super) fn run(args: &SchemaArgs) -> eyre::Result<Exit> {
     let schema = if args.rules { rules_schema() } else { settings_schema() };
     print_json(&schema)?;
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
--- a/src/cli/settings.rs
+++ b/src/cli/settings.rs
@@ -1,4 +1,4 @@
-//! The command `settings`.
+//! The `settings` command: prints the effective settings and where each value comes from.
 
 use std::fmt::Write;
 use std::path::PathBuf;
@@ -7,78 +7,80 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use super::{Exit, load, print, print_json, refuse};
+use super::{Exit, load_settings, print, print_json, report_problems};
 use crate::config::{self, Effective, EffectiveValue};
 
-/// Print the settings in effect with the origin of each value.
+/// Print the effective settings with the origin of each value.
 #[derive(Debug, FromArgs, ArgsInfo)]
 #[argh(subcommand, name = "settings")]
 pub struct SettingsArgs {
-    /// a file of settings; the base first, then each overlay
+    /// a settings file; give the base first, then the overlays in order
     #[argh(option)]
     pub settings: Vec<PathBuf>,
-    /// the files are those of a site, without a node's own
+    /// treat the settings as those of a site, without node settings
     #[argh(switch)]
     pub site: bool,
-    /// print a list in JSON
+    /// print a JSON array
     #[argh(switch)]
     pub json: bool,
-    /// print one JSON document that could stand in place of the files, without origins
+    /// print the settings merged into a single JSON document, without origins
     #[argh(switch)]
     pub merged: bool,
 }
 
-/// One value as it is printed in JSON.
+/// A value and its origin, as printed by `--json`.
 #[derive(Serialize)]
 struct PrintedValue<'a> {
-    /// The JSON pointer of the value within the settings.
+    /// The JSON pointer of the value within the effective settings.
     path: &'a str,
-    /// The value.
     value: &'a Value,
     /// The file it was read from; absent for a default.
     #[serde(skip_serializing_if = "Option::is_none")]
     file: Option<String>,
-    /// The JSON pointer within the file; absent for a default.
+    /// The JSON pointer of the value within that file; absent for a default.
     #[serde(skip_serializing_if = "Option::is_none")]
     file_path: Option<&'a str>,
 }
 
-/// Prints the settings in effect.
+/// Loads the settings and prints them, or reports their problems.
 pub(super) fn run(args: &SettingsArgs) -> eyre::Result<Exit> {
     if args.site {
         return match config::load_site(&args.settings) {
-            Ok(effective) => show(args, &effective),
-            Err(problems) => refuse(&problems, args.json),
+            Ok(effective) => print_settings(args, &effective),
+            Err(problems) => report_problems(&problems, args.json),
         };
     }
-    match load(&args.settings, args.json)? {
-        Ok(effective) => show(args, &effective),
+    match load_settings(&args.settings, args.json)? {
+        Ok(effective) => print_settings(args, &effective),
         Err(exit) => Ok(exit),
     }
 }
 
-/// Prints settings that were accepted.
-fn show<S: Serialize>(args: &SettingsArgs, effective: &Effective<S>) -> eyre::Result<Exit> {
+/// Prints valid settings in the requested format.
+fn print_settings<S: Serialize>(
+    args: &SettingsArgs,
+    effective: &Effective<S>,
+) -> eyre::Result<Exit> {
     if args.merged {
         print_json(&effective.to_value()?)?;
-        return Ok(Exit::Done);
+        return Ok(Exit::Success);
     }
     let values = effective.values()?;
     if args.json {
-        let printed: Vec<PrintedValue<'_>> = values.iter().map(printed).collect();
+        let printed: Vec<PrintedValue<'_>> = values.iter().map(printed_value).collect();
         print_json(&printed)?;
-        return Ok(Exit::Done);
+        return Ok(Exit::Success);
     }
     let mut lines = String::new();
     for value in &values {
         writeln!(lines, "{} = {}  ({})", value.pointer, value.value, origin(value))?;
     }
     print(&lines)?;
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
 
-/// A value as it is printed in JSON.
-fn printed(value: &EffectiveValue) -> PrintedValue<'_> {
+/// Converts a value to the form printed by `--json`.
+fn printed_value(value: &EffectiveValue) -> PrintedValue<'_> {
     let origin = value.origin.as_ref();
     PrintedValue {
         path: &value.pointer,
@@ -88,7 +90,7 @@
     }
 }
 
-/// Where a value comes from, in words.
+/// Formats the origin of a value: file and JSON pointer, or `default`.
 fn origin(value: &EffectiveValue) -> String {
     match &value.origin {
         Some(origin) => format!("{} {}", origin.file.display(), origin.pointer),
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -1,45 +1,45 @@
-//! The command `status`.
+//! The `status` command: prints the state of nodes.
 
 use std::fmt::Write;
 
 use argh::{ArgsInfo, FromArgs};
 use serde_json::Value;
 
-use super::remote::Remote;
+use super::remote::OperatorClient;
 use super::{DEFAULT_KEY_ENV, Exit, print, print_json};
 
-/// Microseconds in a millisecond.
 const US_PER_MS: f64 = 1_000.0;
-/// How far a class's rank stands to the left in a level.
-const RANK_SHIFT: u32 = 8;
+/// Bit offset of the class rank within a priority level; the lower bits order calls of one class.
+const CLASS_RANK_SHIFT: u32 = 8;
 
-/// Show the state of nodes: their targets, limits and floors, and what they send to.
+/// Show the status of nodes: their targets, concurrency limits, admission floors and peers.
 #[derive(Debug, FromArgs, ArgsInfo)]
 #[argh(subcommand, name = "status")]
 pub struct StatusArgs {
-    /// the base URL of a node's operators' listener, such as http://10.20.1.11:7003; may be
+    /// the base URL of a node's operator listener, such as http://10.20.1.11:7003; may be
     /// repeated
     #[argh(option)]
     pub node: Vec<String>,
-    /// the environment variable that holds the operators' key (ASPENSPRING_OPERATOR_KEY)
+    /// the environment variable that holds the operator key (default: ASPENSPRING_OPERATOR_KEY)
     #[argh(option, default = "DEFAULT_KEY_ENV.to_owned()")]
     pub key_env: String,
-    /// print a list in JSON
+    /// print a JSON array
     #[argh(switch)]
     pub json: bool,
 }
 
-/// Shows the state of nodes. Those that reply are shown even if others do not.
+/// Prints the status of every node that replies. The exit code is `Failed` if one does not.
 pub(super) fn run(args: &StatusArgs) -> eyre::Result<Exit> {
     if args.node.is_empty() {
-        eprintln!("Name a node with --node.");
+        eprintln!("Give at least one node with --node.");
         return Ok(Exit::Usage);
     }
-    let mut exit = Exit::Done;
+    let mut exit = Exit::Success;
     let mut statuses = Vec::new();
     for node in &args.node {
-        let asked = Remote::new(node, &args.key_env).and_then(|remote| remote.get("status"));
-        match asked.and_then(|reply| reply.good()) {
+        let result =
+            OperatorClient::new(node, &args.key_env).and_then(|client| client.get("status"));
+        match result.and_then(|reply| reply.success_body()) {
             Ok(status) => statuses.push(status),
             Err(error) => {
                 eprintln!("{node}: {error:#}");
@@ -59,16 +59,16 @@
     Ok(exit)
 }
 
-/// Writes the lines of one node.
+/// Writes the status of one node, its arms and its peers.
 fn write_node(lines: &mut String, status: &Value) -> std::fmt::Result {
-    let state = match (is(status, "leaving"), is(status, "ready")) {
+    let state = match (is_true(status, "leaving"), is_true(status, "ready")) {
         (true, _) => "leaving",
         (false, true) => "ready",
         (false, false) => "not ready",
     };
     writeln!(
         lines,
-        "{} of {} in {}: {state}, configuration {}, {} other nodes known",
+        "{} of {} in {}: {state}, configuration {}, {} other members",
         text(status, "name"),
         text(status, "service"),
         text(status, "failure_domain"),
@@ -86,7 +86,7 @@
     Ok(())
 }
 
-/// Writes the line of an arm beside the target.
+/// Writes the load of one arm at the node's own target.
 fn write_arm(lines: &mut String, arm: &Value) -> std::fmt::Result {
     let load = &arm["load"];
     writeln!(
@@ -101,18 +101,18 @@
     )
 }
 
-/// Writes the lines of a target that the node sends calls to.
+/// Writes the state of a target that the node sends calls to, and the load of its arms.
 fn write_peer(lines: &mut String, peer: &Value) -> std::fmt::Result {
-    let near = if is(peer, "near") { "near" } else { "far" };
+    let near = if is_true(peer, "near") { "near" } else { "far" };
     let link = peer["link"].as_str().unwrap_or("connection lost");
-    let active = if is(peer, "active") { "" } else { ", not used at present" };
-    let leaving = if is(peer, "leaving") { ", leaving" } else { "" };
+    let active = if is_true(peer, "active") { "" } else { ", inactive" };
+    let leaving = if is_true(peer, "leaving") { ", leaving" } else { "" };
     let (service, address) = (text(peer, "service"), text(peer, "address"));
     writeln!(lines, "  to {service} at {address}: {near}, {link}{active}{leaving}")?;
     for arm in list(peer, "arms") {
         let errors_percent = 100.0 * arm["errors"].as_f64().unwrap_or_default();
         let use_percent = 100.0 * arm["utilisation"].as_f64().unwrap_or_default();
-        let ejected = if is(arm, "ejected") { ", probes only" } else { "" };
+        let ejected = if is_true(arm, "ejected") { ", probes only" } else { "" };
         writeln!(
             lines,
             "    arm {}: {} outstanding, {}, {errors_percent:.1} % errors, {use_percent:.0} % in \
@@ -126,28 +126,28 @@
     Ok(())
 }
 
-/// A member that is text.
+/// A string member; `?` if absent.
 fn text<'a>(value: &'a Value, member: &str) -> &'a str {
     value[member].as_str().unwrap_or("?")
 }
 
-/// A member that is true.
-fn is(value: &Value, member: &str) -> bool {
+/// Whether a boolean member is true; false if absent.
+fn is_true(value: &Value, member: &str) -> bool {
     value[member] == true
 }
 
-/// A member that is a list.
+/// An array member; empty if absent.
 fn list<'a>(value: &'a Value, member: &str) -> &'a [Value] {
     value[member].as_array().map(Vec::as_slice).unwrap_or_default()
 }
 
-/// The smoothed latency, in words.
+/// Formats the smoothed latency in milliseconds.
 fn latency(value: &Value) -> String {
     let latency_ms = value["latency_us"].as_f64().unwrap_or_default() / US_PER_MS;
     format!("{latency_ms:.1} ms")
 }
 
-/// The class rank of a floor.
+/// The class rank of the admission floor.
 fn rank(value: &Value) -> u64 {
-    value["floor"].as_u64().unwrap_or_default() >> RANK_SHIFT
+    value["floor"].as_u64().unwrap_or_default() >> CLASS_RANK_SHIFT
 }
--- a/src/cli/submit.rs
+++ b/src/cli/submit.rs
@@ -1,4 +1,4 @@
-//! The command `submit`.
+//! The `submit` command: submits a configuration for all sites.
 
 use std::path::{Path, PathBuf};
 
@@ -6,75 +6,75 @@
 use eyre::WrapErr;
 use serde_json::Value;
 
-use super::remote::{NoReply, Remote, Reply};
-use super::{DEFAULT_KEY_ENV, Exit, print, print_json, refuse};
+use super::remote::{NoReply, OperatorClient, Reply};
+use super::{DEFAULT_KEY_ENV, Exit, print, print_json, report_problems};
 use crate::config::{self, Problem};
 
-/// Submit a configuration for all sites; it comes into force everywhere, or is refused.
+/// Submit a configuration for all sites; it is either accepted as a whole or rejected.
 #[derive(Debug, FromArgs, ArgsInfo)]
 #[argh(subcommand, name = "submit")]
 pub struct SubmitArgs {
-    /// the base URL of a node's operators' listener, such as http://10.20.1.11:7003
+    /// the base URL of a node's operator listener, such as http://10.20.1.11:7003
     #[argh(option)]
     pub node: String,
-    /// the version that the change is based on, as `show` prints it; 0 before the first
+    /// the version that the change is based on, as printed by `show`; 0 if none was accepted yet
     #[argh(option)]
     pub based_on: u64,
-    /// the base file of the settings, whose rules are submitted
+    /// the base settings file; its rules are submitted
     #[argh(option)]
     pub base: Option<PathBuf>,
-    /// the overlay of a site, whose rules are submitted; may be repeated
+    /// the settings overlay of a site; its rules are submitted; may be repeated
     #[argh(option)]
     pub site: Vec<PathBuf>,
-    /// a file with a whole document, in place of --base and --site
+    /// a file with a complete document, instead of --base and --site
     #[argh(option)]
     pub document: Option<PathBuf>,
-    /// a site that is in force and is meant to be left out; may be repeated
+    /// a site in the configuration in force to remove on purpose; may be repeated
     #[argh(option)]
     pub drop_site: Vec<String>,
-    /// who submits (the environment variable USER)
+    /// the name of the submitter (default: the environment variable USER)
     #[argh(option)]
     pub by: Option<String>,
-    /// the environment variable that holds the operators' key (ASPENSPRING_OPERATOR_KEY)
+    /// the environment variable that holds the operator key (default: ASPENSPRING_OPERATOR_KEY)
     #[argh(option, default = "DEFAULT_KEY_ENV.to_owned()")]
     pub key_env: String,
-    /// print the outcome in JSON
+    /// print the outcome as JSON
     #[argh(switch)]
     pub json: bool,
 }
 
-/// Submits a configuration.
+/// Builds the document, checks that no site is dropped by mistake and submits it.
 pub(super) fn run(args: &SubmitArgs) -> eyre::Result<Exit> {
-    let document = match document(args)? {
+    let document = match build_document(args)? {
         Some(Ok(document)) => document,
-        Some(Err(problems)) => return refuse(&problems, args.json),
+        Some(Err(problems)) => return report_problems(&problems, args.json),
         None => {
-            eprintln!("Name either --base and the --site of each site, or --document.");
+            eprintln!("Give either --base with a --site for each site, or --document.");
             return Ok(Exit::Usage);
         }
     };
-    let remote = Remote::new(&args.node, &args.key_env)?;
-    let forgotten = forgotten_sites(args, &document, &remote.get("config")?.good()?)?;
-    if !forgotten.is_empty() {
-        eprintln!("Not submitted: {} in force and not named. Name the", are(&forgotten));
-        eprintln!("files of all sites with --site, or leave a site out with --drop-site.");
+    let client = OperatorClient::new(&args.node, &args.key_env)?;
+    let missing = missing_sites(args, &document, &client.get("config")?.success_body()?)?;
+    if !missing.is_empty() {
+        eprintln!("Not submitted: {} in force but missing from the document.", with_verb(&missing));
+        eprintln!("Give every site with --site, or remove one on purpose with --drop-site.");
         return Ok(Exit::Usage);
     }
     let user = || std::env::var("USER").unwrap_or_else(|_| "operator".to_owned());
     let by = args.by.clone().unwrap_or_else(user);
-    match remote.put_config(document, args.based_on, &by)? {
-        Ok(reply) => report(args, &reply),
-        Err(NoReply::Lost(node)) => {
-            eprintln!("{node} did not reply. The configuration may have been accepted, now or");
-            eprintln!("within seconds: run `show` before you submit again.");
+    match client.put_config(document, args.based_on, &by)? {
+        Ok(reply) => report_outcome(args, &reply),
+        Err(NoReply::ReplyLost(node)) => {
+            eprintln!("{node} did not reply. The configuration may have been accepted, or may be");
+            eprintln!("within seconds. Run `show` before submitting again.");
             Ok(Exit::Unknown)
         }
         Err(error) => Err(error.into()),
     }
 }
 
-/// The document that is named, checked; none where it is not named as it should be.
-fn document(args: &SubmitArgs) -> eyre::Result<Option<Result<String, Vec<Problem>>>> {
+/// Builds and validates the document from the arguments; `None` if their combination is invalid.
+fn build_document(args: &SubmitArgs) -> eyre::Result<Option<Result<String, Vec<Problem>>>> {
     match (&args.document, &args.base) {
         (Some(file), None) if args.site.is_empty() => read_document(file).map(Some),
         (None, Some(base)) if !args.site.is_empty() => {
@@ -85,42 +85,38 @@
     }
 }
 
-/// The sites that are in force and that the document neither names nor is meant to leave out.
+/// The sites in force that the document lacks and `--drop-site` does not name.
 ///
-/// The nodes of a site that a document does not provide for cannot use it and stop serving.
-fn forgotten_sites(
-    args: &SubmitArgs,
-    document: &str,
-    in_force: &Value,
-) -> eyre::Result<Vec<String>> {
+/// The nodes of a site that is missing from the document cannot use it and stop serving.
+fn missing_sites(args: &SubmitArgs, document: &str, in_force: &Value) -> eyre::Result<Vec<String>> {
     let document: Value = serde_json::from_str(document)?;
-    let mut forgotten = Vec::new();
+    let mut missing = Vec::new();
     let sites = in_force["document"]["sites"].as_object();
     for site in sites.into_iter().flat_map(|sites| sites.keys()) {
         if document["sites"].get(site).is_none() && !args.drop_site.contains(site) {
-            forgotten.push(site.clone());
+            missing.push(site.clone());
         }
     }
-    Ok(forgotten)
+    Ok(missing)
 }
 
-/// The names of sites, with the verb that belongs to them.
-fn are(sites: &[String]) -> String {
+/// Joins the names of sites and appends `is` or `are`.
+fn with_verb(sites: &[String]) -> String {
     let verb = if sites.len() == 1 { "is" } else { "are" };
     format!("{} {verb}", sites.join(", "))
 }
 
-/// Reads a file with a whole document and checks it.
+/// Reads and validates a complete document.
 pub(super) fn read_document(file: &Path) -> eyre::Result<Result<String, Vec<Problem>>> {
     let text = std::fs::read_to_string(file)
-        .wrap_err_with(|| format!("{} cannot be read", file.display()))?;
+        .wrap_err_with(|| format!("cannot read {}", file.display()))?;
     Ok(config::read_site_rules(file, &text).map(|_| text))
 }
 
-/// Says what became of the submission.
-fn report(args: &SubmitArgs, reply: &Reply) -> eyre::Result<Exit> {
+/// Prints the outcome of the submission and returns its exit code.
+fn report_outcome(args: &SubmitArgs, reply: &Reply) -> eyre::Result<Exit> {
     let exit = match (reply.status, reply.text("outcome")) {
-        (200..=299, _) => Exit::Done,
+        (200..=299, _) => Exit::Success,
         (409, _) => Exit::Conflict,
         (422, _) => Exit::Usage,
         (_, "unknown") => Exit::Unknown,
@@ -131,15 +127,18 @@
         return Ok(exit);
     }
     match exit {
-        Exit::Done => print(&format!("Accepted as version {}.\n", reply.body["version"]))?,
-        Exit::Conflict => eprintln!("Not accepted: {}", conflict(&reply.body["lost_to"])),
+        Exit::Success => print(&format!("Accepted as version {}.\n", reply.body["version"]))?,
+        Exit::Conflict => eprintln!("Not accepted: {}", describe_conflict(&reply.body["lost_to"])),
         Exit::Usage => {
             for problem in reply.body["problems"].as_array().into_iter().flatten() {
                 eprintln!("{}", problem.as_str().unwrap_or_default());
             }
-            eprintln!("Not accepted: the document makes no valid rules.");
+            eprintln!("Not accepted: the rules of the document are invalid.");
         }
-        Exit::Unknown => eprintln!("It may have been accepted: {}", reply.text("detail")),
+        Exit::Unknown => eprintln!(
+            "Outcome unknown: the configuration may have been accepted: {}",
+            reply.text("detail")
+        ),
         Exit::Failed => eprintln!(
             "Not accepted: {} {} {}",
             reply.status,
@@ -150,10 +149,10 @@
     Ok(exit)
 }
 
-/// What a submission lost to, in words.
-fn conflict(lost_to: &Value) -> String {
+/// Describes the accepted version that a submission conflicts with.
+fn describe_conflict(lost_to: &Value) -> String {
     if lost_to.is_null() {
-        return "the version that it is based on was never accepted.".to_owned();
+        return "the version it is based on was never accepted.".to_owned();
     }
     let by = lost_to["by"].as_str().unwrap_or_default();
     format!("version {} by {by} was accepted in the meantime.", lost_to["version"])
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,10 +1,10 @@
-//! The command line, and the files under `extra` that are made from it.
+//! Exit codes and diagnostics of the command line, and the generated files under `extra`.
 
 use std::path::Path;
 use std::process::{Command, Output};
 
 use argh::{ArgsInfo, CommandInfoWithArgs};
-use aspenspring::cli::{Args, Shell, page, script};
+use aspenspring::cli::{Args, Shell, completion_script, manual_page};
 use aspenspring::config::schema::settings_schema;
 
 fn read(name: &str) -> String {
@@ -24,7 +24,7 @@
 fn the_committed_schema_is_current() {
     let committed: serde_json::Value =
         serde_json::from_str(&read("extra/settings.schema.json")).expect("JSON");
-    assert!(committed == settings_schema(), "the schema is old: run extra/generate.sh");
+    assert!(committed == settings_schema(), "the schema is outdated: run extra/generate.sh");
 }
 
 #[test]
@@ -35,32 +35,36 @@
         (Shell::Fish, "extra/aspenspring.fish"),
     ] {
         let committed = read(file);
-        assert!(committed == script(shell), "{file} is old: run extra/generate.sh");
+        assert!(committed == completion_script(shell), "{file} is outdated: run extra/generate.sh");
         for command in Args::get_args_info().commands {
             assert!(committed.contains(command.name), "{file}: {}", command.name);
         }
     }
 }
 
-/// Every option of a command and of the commands below it, and the names of those.
-fn words(command: &CommandInfoWithArgs, words: &mut Vec<String>) {
+/// Collects every option of a command and its subcommands, and the names of the subcommands, as
+/// they appear in the manual page.
+fn collect_terms(command: &CommandInfoWithArgs, terms: &mut Vec<String>) {
     for flag in command.flags {
-        words.push(flag.long.replace('-', "\\-"));
+        terms.push(flag.long.replace('-', "\\-"));
     }
-    for below in &command.commands {
-        words.push(format!(" {}\n", below.name));
-        self::words(&below.command, words);
+    for subcommand in &command.commands {
+        terms.push(format!(" {}\n", subcommand.name));
+        collect_terms(&subcommand.command, terms);
     }
 }
 
 #[test]
 fn the_committed_manual_is_current_and_names_every_command_and_option() {
     let committed = read("extra/aspenspring.1");
-    assert!(committed == page().expect("a page"), "the page is old: run extra/generate.sh");
-    let mut wanted = Vec::new();
-    words(&Args::get_args_info(), &mut wanted);
-    for word in wanted {
-        assert!(committed.contains(&word) || word == "\\-\\-help", "{word}");
+    assert!(
+        committed == manual_page().expect("a page"),
+        "the page is outdated: run extra/generate.sh"
+    );
+    let mut expected_terms = Vec::new();
+    collect_terms(&Args::get_args_info(), &mut expected_terms);
+    for term in expected_terms {
+        assert!(committed.contains(&term) || term == "\\-\\-help", "{term}");
     }
 }
 
@@ -69,8 +73,8 @@
     let base = "examples/sites/base.json";
     let site = "examples/sites/jordan.json";
     let node = "examples/sites/nodes/souq-catalogue-1.json";
-    let well = ["check", "--settings", base, "--settings", site, "--settings", node];
-    assert_eq!(run(&well).status.code(), Some(0));
+    let valid = ["check", "--settings", base, "--settings", site, "--settings", node];
+    assert_eq!(run(&valid).status.code(), Some(0));
     assert_eq!(run(&["--help"]).status.code(), Some(0));
     assert_eq!(run(&["nonsense"]).status.code(), Some(2));
     assert_eq!(run(&["check"]).status.code(), Some(2));
--- a/tests/cli_remote.rs
+++ b/tests/cli_remote.rs
@@ -1,4 +1,4 @@
-//! The commands that speak to a node's operators' listener.
+//! Commands that talk to the operator listener of a node.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 const KEY: &str = "a-key-of-the-operators";
 const KEY_ENV: &str = "ASPENSPRING_OPERATOR_KEY";
 
-/// A listener of which a thread answers every request by `reply`.
+/// Starts an operator listener whose requests are handled by `reply` on a thread of its own.
 fn listen(reply: impl Fn(OperatorRequest) + Send + 'static) -> (WebServer, SocketAddr) {
     let logging = Logging::start(&TelemetrySettings::default(), std::io::sink()).expect("a log");
     let (sender, ring) = bounded(8);
@@ -72,31 +72,32 @@
     "examples/sites/donauwelle.json",
 ];
 
-/// Runs `submit` against a node that replies `reply`, and returns what it was sent too.
+/// Runs `submit` against a node that sends `reply`. Returns the output and the submission that the
+/// node received: base version, submitter and document.
 fn submit(reply: SubmitReply) -> (Output, Option<(u64, String, Value)>) {
-    let sent = Arc::new(Mutex::new(None));
-    let seen = Arc::clone(&sent);
+    let submission = Arc::new(Mutex::new(None));
+    let received = Arc::clone(&submission);
     let (server, address) = listen(move |request| {
-        let OperatorRequest::Submit { submission, reply: to } = request else {
-            return answer(request);
+        let OperatorRequest::Submit { submission, reply: reply_sender } = request else {
+            return handle_request(request);
         };
         let document = serde_json::from_str(&submission.document).expect("JSON");
-        *seen.lock().expect("a lock") =
+        *received.lock().expect("a lock") =
             Some((submission.expected_version, submission.by, document));
-        let _ = to.send(reply.clone());
+        let _ = reply_sender.send(reply.clone());
     });
     let output = run(address, &SUBMIT);
     server.stop().expect("the listener stops");
-    let sent = sent.lock().expect("a lock").take();
-    (output, sent)
+    let submission = submission.lock().expect("a lock").take();
+    (output, submission)
 }
 
 #[test]
 fn an_accepted_submission_is_the_document_of_all_sites() {
-    let (output, sent) = submit(SubmitReply::Accepted { version: 8 });
+    let (output, submission) = submit(SubmitReply::Accepted { version: 8 });
     assert_eq!(output.status.code(), Some(0), "{output:?}");
     assert_eq!(String::from_utf8_lossy(&output.stdout), "Accepted as version 8.\n");
-    let (based_on, by, document) = sent.expect("a submission");
+    let (based_on, by, document) = submission.expect("a submission");
     assert_eq!((based_on, by.as_str()), (7, "samira"));
     let sites: Vec<&String> = document["sites"].as_object().expect("sites").keys().collect();
     assert_eq!(sites, ["donauwelle", "jordan"]);
@@ -126,36 +127,37 @@
     assert_eq!(unknown.status.code(), Some(4));
 }
 
-/// Reads what the other side still sends, so that closing resets nothing.
-fn drain(mut stream: std::net::TcpStream) {
-    stream.shutdown(std::net::Shutdown::Write).expect("one side is closed");
+/// Closes the sending side, then reads until the peer closes: dropping a socket with unread data
+/// would reset the connection.
+fn close_gracefully(mut stream: std::net::TcpStream) {
+    stream.shutdown(std::net::Shutdown::Write).expect("shutdown succeeds");
     let _ = std::io::copy(&mut stream, &mut std::io::sink());
 }
 
 #[test]
 fn a_reply_that_is_lost_is_told_from_a_request_that_was_not_sent() {
-    let lost = std::net::TcpListener::bind("127.0.0.1:0").expect("a listener");
-    let address = lost.local_addr().expect("an address");
-    let closer = std::thread::spawn(move || {
-        let mut some = [0; 16];
-        let (mut stream, _) = lost.accept().expect("a connection");
-        stream.read_exact(&mut some).expect("a request for what is in force");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a listener");
+    let address = listener.local_addr().expect("an address");
+    let server = std::thread::spawn(move || {
+        let mut buffer = [0; 16];
+        let (mut stream, _) = listener.accept().expect("a connection");
+        stream.read_exact(&mut buffer).expect("the request for the configuration in force");
         let body = json!({"version": 7, "document": {}}).to_string();
         let head = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length";
         write!(stream, "{head}: {}\r\n\r\n{body}", body.len()).expect("the answer is sent");
-        drain(stream);
-        // The submission is taken in and the connection closed without an answer.
-        let (mut stream, _) = lost.accept().expect("a connection");
-        stream.read_exact(&mut some).expect("a submission");
+        close_gracefully(stream);
+        // Reads the submission and closes the connection without a reply.
+        let (mut stream, _) = listener.accept().expect("a connection");
+        stream.read_exact(&mut buffer).expect("a submission");
     });
     assert_eq!(run(address, &SUBMIT).status.code(), Some(4));
-    closer.join().expect("the thread ends");
-    assert_eq!(run(address, &SUBMIT).status.code(), Some(1), "nobody listens any more");
+    server.join().expect("the thread ends");
+    assert_eq!(run(address, &SUBMIT).status.code(), Some(1), "the listener is closed");
 }
 
 #[test]
 fn a_document_that_is_wrong_is_not_sent() {
-    let (server, address) = listen(|_| panic!("nothing may be asked"));
+    let (server, address) = listen(|_| panic!("no request is expected"));
     let bad = "tests/settings/refused/duplicate-ranks.json";
     let args = ["submit", "--based-on", "7", "--base", "examples/sites/base.json", "--site", bad];
     let output = run(address, &args);
@@ -171,18 +173,18 @@
             let _ = reply.send(SubmitReply::Accepted { version: 9 });
             return;
         }
-        answer(request);
+        handle_request(request);
     });
-    let one = [&SUBMIT[..5], &SUBMIT[7..]].concat();
-    let refused = run(address, &one);
+    let without_jordan = [&SUBMIT[..5], &SUBMIT[7..]].concat();
+    let refused = run(address, &without_jordan);
     assert_eq!(refused.status.code(), Some(2), "{refused:?}");
     assert!(String::from_utf8_lossy(&refused.stderr).contains("jordan is in force"));
-    let dropped = run(address, &[&one[..], &["--drop-site", "jordan"]].concat());
+    let dropped = run(address, &[&without_jordan[..], &["--drop-site", "jordan"]].concat());
     assert_eq!(dropped.status.code(), Some(0), "{dropped:?}");
     server.stop().expect("the listener stops");
 }
 
-fn answer(request: OperatorRequest) {
+fn handle_request(request: OperatorRequest) {
     match request {
         OperatorRequest::Config { version, reply } => {
             let entry = ConfigEntry { version: 7, by: "jonas".to_owned(), at_unix_ms: 1 };
@@ -215,7 +217,7 @@
 
 #[test]
 fn configurations_and_the_state_are_shown() {
-    let (server, address) = listen(answer);
+    let (server, address) = listen(handle_request);
     let shown = run(address, &["show", "--document"]);
     assert_eq!(shown.status.code(), Some(0), "{shown:?}");
     let document: Value = serde_json::from_slice(&shown.stdout).expect("JSON");
@@ -236,7 +238,7 @@
 
 #[test]
 fn a_wrong_or_missing_key_fails() {
-    let (server, address) = listen(answer);
+    let (server, address) = listen(handle_request);
     assert_eq!(run_with_key(Some("wrong"), address, &["show"]).status.code(), Some(1));
     assert_eq!(run_with_key(None, address, &["show"]).status.code(), Some(1));
     assert_eq!(run_with_key(Some("wrong"), address, &["status"]).status.code(), Some(1));
