--- a/src/compare/run.rs
+++ b/src/compare/run.rs
@@ -1,4 +1,4 @@
-//! Reads what was kept of one run.
+//! Reads the recorded data of one run: call records and metrics scrapes.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -8,58 +8,58 @@
 use super::scrape::Counts;
 use crate::standin::load::{BUCKET_MS, Record, Window};
 
-/// The file with a line of JSON for each call, as `standin load --out` writes it.
-const RECORDS: &str = "records.jsonl";
-/// What the names of scraped metrics end with.
-const SCRAPE: &str = "prom";
-/// What is added to the name of a scrape for the one that was taken before the run.
-const BEFORE: &str = "before";
+/// The file with one JSON line per call, as written by `standin load --out`.
+const RECORDS_FILE: &str = "records.jsonl";
+/// The file extension of a metrics scrape taken after the run.
+const SCRAPE_EXTENSION: &str = "prom";
+/// The extension added to the file name of a scrape for the one taken before the run.
+const BEFORE_EXTENSION: &str = "before";
 
-/// Why a run cannot be read.
+/// An error reading a run.
 #[derive(Debug, Error)]
 pub enum RunError {
     /// A file or the directory cannot be read.
-    #[error("{file} cannot be read")]
+    #[error("cannot read {file}")]
     Unreadable {
-        /// The file.
+        /// The file or directory.
         file: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A line is no record of a call.
-    #[error("{file}: line {line} is no record of a call")]
-    NoRecord {
+    /// A line is not a valid call record.
+    #[error("{file}: line {line} is not a valid call record")]
+    InvalidRecord {
         /// The file.
         file: PathBuf,
-        /// The number of the line, from 1.
+        /// The line number, counted from 1.
         line: usize,
-        /// Why.
+        /// The JSON error.
         source: serde_json::Error,
     },
 }
 
-/// One run.
+/// The recorded data of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Run {
-    /// What became of each call.
+    /// The outcome of each call.
     pub records: Vec<Record>,
-    /// What the nodes counted, all together.
+    /// The counters of all nodes, added up.
     pub counts: Counts,
 }
 
 impl Run {
-    /// Reads the run in the directory `dir`: `records.jsonl`, and for each node a scrape of its
-    /// metrics after the run, `NAME.prom`. Where there is a `NAME.prom.before`, what it counts is
-    /// taken off.
+    /// Reads a run from the directory `dir`: `records.jsonl` and, for each node, a metrics scrape
+    /// taken after the run, `NAME.prom`. If there is a `NAME.prom.before`, its counters are
+    /// subtracted.
     ///
     /// # Errors
     ///
-    /// A directory or file that cannot be read, or a line that is no record.
+    /// A directory or file cannot be read, or a line is not a valid record.
     pub fn read(dir: &Path) -> Result<Self, RunError> {
         let mut run = Self::default();
-        let file = dir.join(RECORDS);
+        let file = dir.join(RECORDS_FILE);
         for (index, line) in read(&file)?.lines().enumerate() {
-            let record = serde_json::from_str(line).map_err(|source| RunError::NoRecord {
+            let record = serde_json::from_str(line).map_err(|source| RunError::InvalidRecord {
                 file: file.clone(),
                 line: index + 1,
                 source,
@@ -68,34 +68,34 @@
         }
         for scrape in scrapes(dir)? {
             run.counts.add(&read(&scrape)?);
-            let before = scrape.with_extension(format!("{SCRAPE}.{BEFORE}"));
+            let before = scrape.with_extension(format!("{SCRAPE_EXTENSION}.{BEFORE_EXTENSION}"));
             if before.exists() {
-                run.counts.take_off(&read(&before)?);
+                run.counts.subtract(&read(&before)?);
             }
         }
         Ok(run)
     }
 
-    /// The calls that were due in `window`.
-    pub fn during(&self, window: Window) -> Vec<Record> {
+    /// The records of calls scheduled in `window`.
+    pub fn records_in(&self, window: Window) -> Vec<Record> {
         let range = window.from_ms as f64..window.to_ms as f64;
         self.records.iter().filter(|record| range.contains(&record.at_ms)).cloned().collect()
     }
 
-    /// How long calls were offered, in milliseconds, in whole buckets.
-    pub fn length_ms(&self) -> u64 {
+    /// The time over which calls were offered, in milliseconds, rounded up to whole buckets.
+    pub fn duration_ms(&self) -> u64 {
         let last_ms = self.records.iter().map(|record| record.at_ms).fold(0.0, f64::max);
         (last_ms as u64 / BUCKET_MS + 1) * BUCKET_MS
     }
 }
 
-/// The scrapes in a directory that were taken after the run.
+/// The scrapes in a directory that were taken after the run, sorted by path.
 fn scrapes(dir: &Path) -> Result<Vec<PathBuf>, RunError> {
     let unreadable = |source| RunError::Unreadable { file: dir.to_path_buf(), source };
     let mut scrapes = Vec::new();
     for entry in std::fs::read_dir(dir).map_err(unreadable)? {
         let file = entry.map_err(unreadable)?.path();
-        if file.extension().is_some_and(|extension| extension == SCRAPE) {
+        if file.extension().is_some_and(|extension| extension == SCRAPE_EXTENSION) {
             scrapes.push(file);
         }
     }
@@ -103,7 +103,6 @@
     Ok(scrapes)
 }
 
-/// The text of a file.
 fn read(file: &Path) -> Result<String, RunError> {
     std::fs::read_to_string(file)
         .map_err(|source| RunError::Unreadable { file: file.to_path_buf(), source })
--- a/src/compare/scrape.rs
+++ b/src/compare/scrape.rs
@@ -1,61 +1,61 @@
-//! What nodes counted for each arm, from scrapes of their metrics.
+//! Per-arm counters from scrapes of the nodes' metrics.
 
 use std::collections::BTreeMap;
 
 use crate::telemetry::metrics::names;
 
-/// The label that names the arm.
-const ARM: &str = "arm";
+/// The metric label with the name of the arm.
+const ARM_LABEL: &str = "arm";
 
-/// What the nodes of a site counted for one arm.
+/// The counters of one arm, added up over the nodes of a site.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ArmCounts {
-    /// Whole requests of outside callers.
+    /// Root requests: those from external callers.
     pub roots: f64,
-    /// Retries that were made.
+    /// Retries that were granted.
     pub retries: f64,
-    /// Time targets spent, in microseconds.
+    /// Time that targets spent on calls, in microseconds.
     pub busy_us: f64,
-    /// Time targets spent for answers that nobody could use, in microseconds.
+    /// Time that targets spent on answers that could not be used, in microseconds.
     pub wasted_us: f64,
 }
 
 impl ArmCounts {
-    /// One, and the retries for each whole request; none without requests.
+    /// One plus the retries per root request; `None` without requests.
     pub fn attempts_per_root(&self) -> Option<f64> {
         (self.roots > 0.0).then(|| 1.0 + self.retries / self.roots)
     }
 
-    /// Wasted target time as a share of all; none where targets spent none.
+    /// Wasted target time as a share of all target time; `None` if targets spent no time.
     pub fn wasted_share(&self) -> Option<f64> {
         (self.busy_us > 0.0).then(|| self.wasted_us / self.busy_us)
     }
 }
 
-/// What the nodes of a site counted, by the name of the arm.
+/// The counters of all arms, by arm name.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counts(BTreeMap<String, ArmCounts>);
 
 impl Counts {
-    /// What was counted for an arm.
+    /// The counters of an arm.
     pub fn arm(&self, arm: &str) -> Option<&ArmCounts> {
         self.0.get(arm)
     }
 
-    /// Adds what is counted in a scrape.
+    /// Adds the counters of a scrape.
     pub fn add(&mut self, scrape: &str) {
-        self.count(scrape, 1.0);
+        self.add_scaled(scrape, 1.0);
     }
 
-    /// Takes off what is counted in a scrape.
-    pub fn take_off(&mut self, scrape: &str) {
-        self.count(scrape, -1.0);
+    /// Subtracts the counters of a scrape.
+    pub fn subtract(&mut self, scrape: &str) {
+        self.add_scaled(scrape, -1.0);
     }
 
-    /// Adds `factor` times what is counted in a scrape.
-    fn count(&mut self, scrape: &str, factor: f64) {
-        for sample in scrape.lines().filter_map(Sample::read) {
-            let Some(arm) = sample.label(ARM) else {
+    /// Adds the counters of a scrape, multiplied by `factor`.
+    fn add_scaled(&mut self, scrape: &str, factor: f64) {
+        for sample in scrape.lines().filter_map(Sample::parse) {
+            let Some(arm) = sample.label(ARM_LABEL) else {
                 continue;
             };
             let counts = self.0.entry(arm.to_owned()).or_default();
@@ -75,7 +75,7 @@
     }
 }
 
-/// One line of a scrape, as the node writes it (Prometheus text format).
+/// One sample line of a scrape in the Prometheus text format.
 struct Sample<'a> {
     name: &'a str,
     labels: &'a str,
@@ -83,15 +83,15 @@
 }
 
 impl<'a> Sample<'a> {
-    /// Reads a line with labels; comments and lines without labels are passed over. Labels of ours
-    /// are names of the settings, which hold no quotes, commas or braces.
-    fn read(line: &'a str) -> Option<Self> {
+    /// Parses a line with labels; returns `None` for comments and lines without labels. Label
+    /// values are names from the settings, which contain no quotes, commas or braces.
+    fn parse(line: &'a str) -> Option<Self> {
         let (name, rest) = line.split_once('{')?;
         let (labels, value) = rest.rsplit_once('}')?;
         Some(Self { name, labels, value: value.trim().parse().ok()? })
     }
 
-    /// The value of a label.
+    /// The value of a label; `None` if the sample lacks it.
     fn label(&self, name: &str) -> Option<&'a str> {
         for label in self.labels.split(',') {
             let (label, value) = label.split_once('=')?;
--- a/src/compare/spread.rs
+++ b/src/compare/spread.rs
@@ -1,22 +1,22 @@
-//! A figure over repeats.
+//! Median, minimum and maximum of a figure over repeated runs.
 
 use serde::Serialize;
 
-/// The median of repeats, with the least and the greatest of them.
+/// The median, minimum and maximum of repeated values.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Spread {
-    /// The median; the mean of the middle two where their number is even.
+    /// The median; for an even number of values the mean of the middle two.
     pub median: f64,
-    /// The least.
+    /// The minimum.
     pub min: f64,
-    /// The greatest.
+    /// The maximum.
     pub max: f64,
-    /// How many there are.
+    /// The number of values.
     pub repeats: usize,
 }
 
 impl Spread {
-    /// The spread of some values; none where there are none.
+    /// The spread of `values`; `None` if there are none.
     pub fn of(values: impl IntoIterator<Item = f64>) -> Option<Self> {
         let mut values: Vec<f64> = values.into_iter().collect();
         values.sort_by(f64::total_cmp);
--- a/tests/compare.rs
+++ b/tests/compare.rs
@@ -1,4 +1,4 @@
-//! Arms are compared by what clients saw and what nodes counted.
+//! Comparison of policy arms by call records and node counters.
 
 use std::path::{Path, PathBuf};
 
@@ -23,15 +23,15 @@
     }
 }
 
-/// Ten calls a second of each arm for 10 s; `held` stays good, `naive` loses calls from the fourth
-/// second on and is back `back_ms` after the seventh.
-fn run(back_ms: f64) -> Run {
+/// Ten calls per second of each arm for 10 s. All calls of `held` are good; those of `naive` fail
+/// from 4 s until `recovery_ms` after 7 s.
+fn run(recovery_ms: f64) -> Run {
     let mut records = Vec::new();
     for call in 0..100_u32 {
         let at_ms = f64::from(call) * 100.0;
         records.push(record(at_ms, "confirm", "held", Outcome::Good, 20.0));
-        let is_lost = (4_000.0..7_000.0 + back_ms).contains(&at_ms);
-        let outcome = if is_lost { Outcome::NotRun } else { Outcome::Good };
+        let is_failed = (4_000.0..7_000.0 + recovery_ms).contains(&at_ms);
+        let outcome = if is_failed { Outcome::NotRun } else { Outcome::Good };
         records.push(record(at_ms, "browse", "naive", outcome, 30.0));
     }
     Run { records, ..Run::default() }
@@ -61,7 +61,7 @@
     let naive = find(&figures, "naive", "browse");
     assert_eq!(naive.good_share, Spread::of([0.65, 0.6, 0.4]).expect("three"));
     assert_eq!((naive.unrecovered, naive.recovery_ms), (1, Spread::of([500.0, 1_000.0])));
-    assert_eq!(naive.attempts_per_root, None, "no scrape was kept");
+    assert_eq!(naive.attempts_per_root, None, "the run has no scrape");
 }
 
 #[test]
@@ -74,7 +74,7 @@
     assert_eq!(find(&figures, "held", "all").goodput_per_s.median, 10.0);
 }
 
-/// Writes a run with what nodes counted, by the node's own metrics.
+/// Writes the files of a run. The scrapes are rendered by the metrics code of the node.
 fn write_run(name: &str) -> PathBuf {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("compare-{name}"));
     std::fs::create_dir_all(&dir).expect("a directory");
@@ -138,18 +138,18 @@
 }
 
 #[test]
-fn a_picture_has_a_line_for_each_arm() {
-    let svg = plot(&[run(500.0), run(1_000.0)], Some(TRIGGER)).expect("a picture");
+fn a_plot_has_a_line_for_each_arm() {
+    let svg = plot(&[run(500.0), run(1_000.0)], Some(TRIGGER)).expect("a plot");
     assert_eq!(svg.matches("<polyline").count(), 2);
     assert!(svg.contains(">held</text>") && svg.contains(">naive</text>"));
     assert!(svg.starts_with("<svg") && svg.ends_with("</svg>\n"));
 }
 
 #[test]
-fn what_is_no_run_is_refused_with_its_file_and_line() {
+fn an_invalid_run_is_refused_with_its_file_and_line() {
     let dir = write_run("broken");
     std::fs::write(dir.join("records.jsonl"), "{}\n").expect("the file is written");
-    let error = Run::read(&dir).expect_err("no record").to_string();
+    let error = Run::read(&dir).expect_err("an invalid record").to_string();
     assert!(error.contains("records.jsonl: line 1"), "{error}");
     assert!(Run::read(Path::new("no-such-directory")).is_err());
 }
