--- a/src/cli/replay.rs
+++ b/src/cli/replay.rs
@@ -7,7 +7,7 @@
 use eyre::WrapErr;
 
 use super::{Exit, print, print_json};
-use crate::replay::{Ends, Expectations, Report, replay};
+use crate::replay::{Expectations, OutcomeCounts, Report, replay};
 
 /// Replay a trace recorded with `node --record` against a new node and report its decisions.
 #[derive(Debug, FromArgs, ArgsInfo)]
@@ -105,7 +105,7 @@
 }
 
 /// Writes a line for each verdict and reason.
-fn write_outcomes(text: &mut String, name: &str, outcomes: &Ends) {
+fn write_outcomes(text: &mut String, name: &str, outcomes: &OutcomeCounts) {
     for (reason, count) in &outcomes.reasons {
         write_figure(text, &format!("{name}: {reason}"), *count);
     }
--- a/src/replay/expect.rs
+++ b/src/replay/expect.rs
@@ -1,42 +1,42 @@
-//! Stated outcomes of a trace.
+//! Expectations that the report of a trace is checked against.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
 use super::tally::Report;
 
-/// What must hold of the report of a trace.
+/// The expectations for the report of one trace.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expectations {
-    /// What the trace shows.
+    /// A description of the trace.
     pub title: String,
-    /// What must hold.
+    /// The individual expectations.
     pub stated: Vec<Expectation>,
 }
 
-/// What must hold of one figure of the report.
+/// Bounds for the sum of some figures of the report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expectation {
-    /// Why it must hold.
+    /// The reason for the expectation, printed if it fails.
     pub because: String,
-    /// The JSON pointers (RFC 6901) of the figures, which are added up.
+    /// The JSON pointers (RFC 6901) of the figures to add up.
     pub of: Vec<String>,
-    /// The least that the sum may be.
+    /// The lower bound of the sum, inclusive.
     #[serde(default)]
     pub min: Option<u64>,
-    /// The most that the sum may be.
+    /// The upper bound of the sum, inclusive.
     #[serde(default)]
     pub max: Option<u64>,
 }
 
 impl Expectations {
-    /// What does not hold of `report`, a sentence each.
+    /// Returns one message for each expectation that `report` does not meet.
     ///
     /// # Errors
     ///
-    /// Fails only if the report has no form in JSON.
+    /// The report cannot be serialized to JSON.
     pub fn differences(&self, report: &Report) -> serde_json::Result<Vec<String>> {
         let report = serde_json::to_value(report)?;
         let mut differences = Vec::new();
@@ -48,36 +48,37 @@
 }
 
 impl Expectation {
-    /// Why it does not hold, if so.
+    /// Returns a message if the expectation is not met or is invalid.
     fn difference(&self, report: &Value) -> Option<String> {
-        let names = self.of.join(" + ");
+        let pointers = self.of.join(" + ");
         if self.of.is_empty() || (self.min.is_none() && self.max.is_none()) {
-            return Some(format!("{}: it states nothing that could fail", self.because));
+            return Some(format!("{}: the expectation has no figure or no bound", self.because));
         }
         let mut sum = 0;
         for pointer in &self.of {
             match figure(report, pointer) {
                 Some(figure) => sum += figure,
-                None => return Some(format!("{pointer} is no figure of the report")),
+                None => return Some(format!("{pointer} is not a figure of the report")),
             }
         }
-        let is_low = self.min.is_some_and(|min| sum < min);
-        let is_high = self.max.is_some_and(|max| sum > max);
-        if !is_low && !is_high {
+        let is_below = self.min.is_some_and(|min| sum < min);
+        let is_above = self.max.is_some_and(|max| sum > max);
+        if !is_below && !is_above {
             return None;
         }
         let bound = |bound: Option<u64>| bound.map_or("any".to_owned(), |bound| bound.to_string());
         let (min, max) = (bound(self.min), bound(self.max));
-        Some(format!("{names} is {sum}, not {min} to {max}: {}", self.because))
+        Some(format!("{pointers} is {sum}, expected {min} to {max}: {}", self.because))
     }
 }
 
-/// A figure of the report. What is counted by name is 0 where it did not occur.
+/// Looks up a figure of the report. In `reasons` and `retries`, which have only the names that
+/// occurred, a missing name counts as 0.
 fn figure(report: &Value, pointer: &str) -> Option<u64> {
     if let Some(value) = report.pointer(pointer) {
         return value.as_u64();
     }
     let (parent, _) = pointer.rsplit_once('/')?;
-    let is_counted_by_name = parent.ends_with("/reasons") || parent == "/retries";
-    (is_counted_by_name && report.pointer(parent)?.is_object()).then_some(0)
+    let is_keyed_by_name = parent.ends_with("/reasons") || parent == "/retries";
+    (is_keyed_by_name && report.pointer(parent)?.is_object()).then_some(0)
 }
--- a/src/replay/sight.rs
+++ b/src/replay/sight.rs
@@ -1,113 +1,119 @@
-//! What a trace shows of attempts and roots, to tell true verdicts from false ones.
+//! Tracks attempts and root requests in a trace, to detect verdicts that contradict it.
 
 use std::collections::{HashMap, HashSet};
 
 use crate::call::{AttemptId, CallFrame, RootId, Verdict};
 use crate::node::TargetOutcome;
 
-/// What is known of attempts and roots.
+/// The state of all attempts and root requests seen so far.
 #[derive(Default)]
-pub(super) struct Sight {
-    /// Attempts given to the target that it did not certainly leave alone, with their keys and
-    /// the traces they belong to.
+pub(super) struct AttemptTracker {
+    /// Attempts passed to the target that it ran or may have run.
     runs: HashMap<AttemptId, Run>,
-    /// All attempts given to the target.
-    given: HashSet<AttemptId>,
-    /// Attempts of outside requests that were sent and are not known not to have run.
-    doubts: HashMap<RootId, HashSet<AttemptId>>,
-    /// The roots of attempts that were sent.
-    roots: HashMap<AttemptId, RootId>,
-    /// Extra attempts by root.
-    extra: HashMap<RootId, u64>,
+    /// All attempts passed to the target.
+    at_target: HashSet<AttemptId>,
+    /// By root, attempts of external requests that were sent to other nodes and are not known not
+    /// to have run.
+    possible_runs: HashMap<RootId, HashSet<AttemptId>>,
+    /// The root of each attempt that this node sent or was asked to grant a retry of.
+    root_by_attempt: HashMap<AttemptId, RootId>,
+    /// Extra attempts (retries) sent or granted, by root.
+    extra_by_root: HashMap<RootId, u64>,
 }
 
-/// A run of the target.
+/// An attempt that the target ran or may have run.
 struct Run {
-    /// The key it ran under.
+    /// The idempotency key, if any.
     key: Option<String>,
-    /// The trace it belongs to; that of a root whose caller brought no trace is the root's id.
+    /// The trace id, if any. If the caller sent no trace context, it is the id of the root.
     trace: Option<String>,
 }
 
-impl Sight {
-    /// An attempt goes to the target.
-    pub fn run(&mut self, attempt: AttemptId, key: Option<&str>, traceparent: Option<&str>) {
+impl AttemptTracker {
+    /// Records that an attempt is passed to the target.
+    pub fn target_started(
+        &mut self,
+        attempt: AttemptId,
+        key: Option<&str>,
+        traceparent: Option<&str>,
+    ) {
         let trace = traceparent.and_then(|text| text.split('-').nth(1)).map(str::to_owned);
-        self.given.insert(attempt);
+        self.at_target.insert(attempt);
         self.runs.insert(attempt, Run { key: key.map(str::to_owned), trace });
     }
 
-    /// The target has finished with an attempt.
-    pub fn ended(&mut self, attempt: AttemptId, outcome: &TargetOutcome) {
-        let untouched = matches!(
+    /// Records how an attempt at the target ended.
+    pub fn target_ended(&mut self, attempt: AttemptId, outcome: &TargetOutcome) {
+        let is_not_run = matches!(
             outcome,
             TargetOutcome::Declined | TargetOutcome::Unreachable | TargetOutcome::NoRoom
         );
-        if untouched {
+        if is_not_run {
             self.runs.remove(&attempt);
         }
     }
 
-    /// An attempt is sent to another node.
-    pub fn sent(&mut self, frame: &CallFrame) {
-        self.roots.insert(frame.attempt, frame.root);
+    /// Records that an attempt is sent to another node.
+    pub fn call_sent(&mut self, frame: &CallFrame) {
+        self.root_by_attempt.insert(frame.attempt, frame.root);
         if frame.depth == 0 {
-            self.doubts.entry(frame.root).or_default().insert(frame.attempt);
+            self.possible_runs.entry(frame.root).or_default().insert(frame.attempt);
         }
         if frame.retry > 0 {
-            *self.extra.entry(frame.root).or_default() += 1;
+            *self.extra_by_root.entry(frame.root).or_default() += 1;
         }
     }
 
-    /// An attempt never left this node.
-    pub fn unsent(&mut self, attempt: AttemptId) {
-        let Some(root) = self.roots.get(&attempt) else { return };
-        if let Some(doubts) = self.doubts.get_mut(root) {
-            doubts.remove(&attempt);
+    /// Records that an attempt was never sent or certainly did not run.
+    pub fn did_not_run(&mut self, attempt: AttemptId) {
+        let Some(root) = self.root_by_attempt.get(&attempt) else { return };
+        if let Some(possible_runs) = self.possible_runs.get_mut(root) {
+            possible_runs.remove(&attempt);
         }
     }
 
-    /// Another node answered an attempt.
-    pub fn answered(&mut self, attempt: AttemptId, verdict: &Verdict) {
+    /// Records the verdict of another node on an attempt.
+    pub fn call_answered(&mut self, attempt: AttemptId, verdict: &Verdict) {
         if verdict.is_not_run() {
-            self.unsent(attempt);
+            self.did_not_run(attempt);
         }
     }
 
-    /// Another node asks for one more attempt.
-    pub fn asked(&mut self, failed: AttemptId, root: RootId) {
-        self.roots.insert(failed, root);
+    /// Records that another node asks for one more attempt after `failed`.
+    pub fn retry_requested(&mut self, failed: AttemptId, root: RootId) {
+        self.root_by_attempt.insert(failed, root);
     }
 
-    /// Another node may make one more attempt after `failed`.
-    pub fn granted(&mut self, failed: AttemptId) {
-        let Some(root) = self.roots.get(&failed) else { return };
-        *self.extra.entry(*root).or_default() += 1;
+    /// Records that another node is granted one more attempt after `failed`.
+    pub fn retry_granted(&mut self, failed: AttemptId) {
+        let Some(root) = self.root_by_attempt.get(&failed) else { return };
+        *self.extra_by_root.entry(*root).or_default() += 1;
     }
 
     /// Whether this node sent an attempt.
     pub fn was_sent(&self, attempt: AttemptId) -> bool {
-        self.roots.contains_key(&attempt)
+        self.root_by_attempt.contains_key(&attempt)
     }
 
-    /// Whether this node gave an attempt to the target.
-    pub fn was_given(&self, attempt: AttemptId) -> bool {
-        self.given.contains(&attempt)
+    /// Whether this node passed an attempt to the target.
+    pub fn was_at_target(&self, attempt: AttemptId) -> bool {
+        self.at_target.contains(&attempt)
     }
 
-    /// Whether the target had an attempt and may have run it.
-    pub fn has_run(&self, attempt: AttemptId) -> bool {
+    /// Whether the target ran an attempt or may have run it.
+    pub fn attempt_may_have_run(&self, attempt: AttemptId) -> bool {
         self.runs.contains_key(&attempt)
     }
 
-    /// Whether some attempt of an outside request ran or may have run.
-    pub fn may_have_run(&self, root: RootId) -> bool {
-        let sent = self.doubts.get(&root).is_some_and(|doubts| !doubts.is_empty());
+    /// Whether any attempt of an external request ran or may have run.
+    pub fn root_may_have_run(&self, root: RootId) -> bool {
+        let was_sent_on =
+            self.possible_runs.get(&root).is_some_and(|possible_runs| !possible_runs.is_empty());
         let trace = root.to_string();
-        sent || self.runs.values().any(|run| run.trace.as_ref() == Some(&trace))
+        was_sent_on || self.runs.values().any(|run| run.trace.as_ref() == Some(&trace))
     }
 
-    /// The most runs under one key.
+    /// The maximum number of runs with the same key.
     pub fn runs_per_key_max(&self) -> u64 {
         let mut runs: HashMap<&str, u64> = HashMap::new();
         for run in self.runs.values() {
@@ -118,8 +124,8 @@
         runs.into_values().max().unwrap_or(0)
     }
 
-    /// The most extra attempts for one root.
+    /// The maximum number of extra attempts for the same root.
     pub fn extra_per_root_max(&self) -> u64 {
-        self.extra.values().copied().max().unwrap_or(0)
+        self.extra_by_root.values().copied().max().unwrap_or(0)
     }
 }
--- a/src/replay/trace.rs
+++ b/src/replay/trace.rs
@@ -1,4 +1,4 @@
-//! The form of a trace.
+//! The trace file format and its reader.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -6,90 +6,92 @@
 use crate::config::Settings;
 use crate::node::{NodeEvent, NodeIdentity};
 
-/// The form that this program writes and reads.
+/// The version of the trace format that this program writes and reads.
 pub const FORMAT: u32 = 1;
 
-/// The first line: what the node was at its start.
+/// The first line of a trace: the initial state of the node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Header {
-    /// The form of the trace, [`FORMAT`].
+    /// The version of the trace format, [`FORMAT`].
     pub format: u32,
-    /// The version of the program that recorded it.
+    /// The version of the program that recorded the trace.
     pub version: String,
-    /// When the node was made, in microseconds since the process started.
+    /// When the node was created, in microseconds since the start of the process.
     pub started_us: u64,
-    /// Who the node was.
+    /// The identity of the node.
     pub identity: NodeIdentity,
-    /// What it was told at its start.
+    /// The settings that the node was started with.
     pub settings: Settings,
 }
 
-/// Every other line: an event and its time, or how the recording ended.
+/// Any further line: either an event with its time or the end of the recording.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Line {
-    /// When the node was told, in microseconds since the process started.
+    /// When the node handled the event, in microseconds since the start of the process.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub at_us: Option<u64>,
-    /// What it was told.
+    /// The event.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub event: Option<NodeEvent>,
-    /// How the recording ended; only on the last line.
+    /// The result of the recording; only on the last line.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub end: Option<End>,
 }
 
-/// How a recording ended.
+/// The result of a recording.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
-    /// The node ended, and every event is in the trace.
+    /// The node stopped, and the trace contains every event.
     Complete,
-    /// Events came faster than they could be written: those after this line are missing.
+    /// Events arrived faster than they could be written; all later ones are missing.
     Incomplete,
 }
 
-/// Why a trace cannot be replayed, or not to its end.
+/// An error reading a trace.
 #[derive(Debug, Error)]
 pub enum TraceError {
     /// The file is empty.
-    #[error("line 1: there is no header")]
+    #[error("line 1: missing header")]
     NoHeader,
-    /// A line makes no sense.
+    /// A line is malformed or out of order.
     #[error("line {line}: {cause}")]
     Malformed {
         /// The line, counted from 1.
         line: usize,
-        /// What is wrong.
+        /// The description of the error.
         cause: String,
     },
-    /// The recording says that it is not whole.
-    #[error("line {line}: the recording is incomplete: events came faster than they were written")]
+    /// The last line marks the recording as incomplete.
+    #[error(
+        "line {line}: the recording is incomplete: events arrived faster than they were written"
+    )]
     Incomplete {
         /// The line, counted from 1.
         line: usize,
     },
-    /// There is no last line that says how the recording ended.
-    #[error("line {line}: the trace is cut: nothing says how the recording ended")]
+    /// The end line is missing.
+    #[error("line {line}: the trace is truncated: the end line is missing")]
     Cut {
-        /// The line after the last, counted from 1.
+        /// The line where the end was expected, counted from 1.
         line: usize,
     },
 }
 
 /// Reads a trace line by line.
 pub struct TraceReader<'a> {
-    /// The lines not yet read.
+    /// The remaining lines.
     lines: std::str::Lines<'a>,
     /// The number of the line read last.
     line: usize,
-    /// The time of the event read last.
+    /// The time of the event read last, in microseconds; times must not decrease.
     at_us: u64,
 }
 
 impl<'a> TraceReader<'a> {
-    /// Reads the header.
+    /// Reads the header and checks the format version.
     ///
     /// # Errors
     ///
@@ -97,16 +99,17 @@
     pub fn open(text: &'a str) -> Result<(Header, Self), TraceError> {
         let mut lines = text.lines();
         let first = lines.next().ok_or(TraceError::NoHeader)?;
-        let header: Header = read(1, first)?;
+        let header: Header = parse(1, first)?;
         if header.format != FORMAT {
-            let cause = format!("the form is {}, and only {FORMAT} can be read", header.format);
+            let cause = format!("unsupported format version {}, expected {FORMAT}", header.format);
             return Err(TraceError::Malformed { line: 1, cause });
         }
         let at_us = header.started_us;
         Ok((header, Self { lines, line: 1, at_us }))
     }
 
-    /// The next event with its time, or none after the last line of a whole trace.
+    /// Returns the next event with its time in microseconds, or `None` at the end of a complete
+    /// trace.
     ///
     /// # Errors
     ///
@@ -115,23 +118,26 @@
         self.line += 1;
         let line = self.line;
         let Some(text) = self.lines.next() else { return Err(TraceError::Cut { line }) };
-        match read(line, text)? {
+        match parse(line, text)? {
             Line { at_us: Some(at_us), event: Some(event), end: None } => {
                 if at_us < self.at_us {
-                    return Err(malformed(line, "the time runs backwards"));
+                    return Err(malformed(
+                        line,
+                        "the time is earlier than that of the previous event",
+                    ));
                 }
                 self.at_us = at_us;
                 Ok(Some((at_us, event)))
             }
-            Line { at_us: None, event: None, end: Some(end) } => self.end(end),
-            _ => Err(malformed(line, "neither an event with its time nor the end")),
+            Line { at_us: None, event: None, end: Some(end) } => self.finish(end),
+            _ => Err(malformed(line, "expected either an event with its time or the end")),
         }
     }
 
-    /// Takes the last line in.
-    fn end(&mut self, end: End) -> Result<Option<(u64, NodeEvent)>, TraceError> {
+    /// Handles the end line.
+    fn finish(&mut self, end: End) -> Result<Option<(u64, NodeEvent)>, TraceError> {
         if self.lines.next().is_some() {
-            return Err(malformed(self.line + 1, "something stands after the end"));
+            return Err(malformed(self.line + 1, "unexpected line after the end"));
         }
         match end {
             End::Complete => Ok(None),
@@ -140,13 +146,12 @@
     }
 }
 
-/// A line that makes no sense.
 fn malformed(line: usize, cause: &str) -> TraceError {
     TraceError::Malformed { line, cause: cause.to_owned() }
 }
 
-/// Reads one line.
-fn read<T: for<'de> Deserialize<'de>>(line: usize, text: &str) -> Result<T, TraceError> {
+/// Parses one line.
+fn parse<T: for<'de> Deserialize<'de>>(line: usize, text: &str) -> Result<T, TraceError> {
     serde_json::from_str(text)
         .map_err(|error| TraceError::Malformed { line, cause: error.to_string() })
 }
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Recording, cut traces and stated outcomes that do not hold.
+//! Recording traces, truncated traces and expectations that are not met.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -10,15 +10,15 @@
 
 const TRACE: &str = "tests/traces/node/jordan-healthy.jsonl";
 
-fn kept() -> String {
-    std::fs::read_to_string(TRACE).expect("the kept trace")
+fn sample_trace() -> String {
+    std::fs::read_to_string(TRACE).expect("the sample trace")
 }
 
 fn header() -> Header {
-    TraceReader::open(&kept()).expect("a header").0
+    TraceReader::open(&sample_trace()).expect("a header").0
 }
 
-/// A path in the build's own directory where nothing stands.
+/// A path in the temporary directory of the build without an existing file.
 fn new_file(name: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_file(&path);
@@ -44,12 +44,12 @@
 
 #[test]
 fn what_is_recorded_is_read_back() {
-    let path = new_file("whole.jsonl");
+    let path = new_file("complete.jsonl");
     let (mut recorder, duty) = recorder::start(&path, &header()).expect("a new file");
     let at_us = header().started_us + 5;
     recorder.take(at_us, &call(3));
     recorder.finish();
-    duty.stop().expect("all is written");
+    duty.stop().expect("the recording is written");
     let text = std::fs::read_to_string(&path).expect("the recording");
     let (_, mut events) = TraceReader::open(&text).expect("a header");
     let Ok(Some((read_us, NodeEvent::CallerCall(incoming)))) = events.next_event() else {
@@ -57,19 +57,19 @@
     };
     assert_eq!((read_us, &incoming.request.body[..]), (at_us, &[0xff; 3][..]));
     assert!(matches!(events.next_event(), Ok(None)));
-    assert!(recorder::start(&path, &header()).is_err(), "a recording was written over");
+    assert!(recorder::start(&path, &header()).is_err(), "an existing recording was overwritten");
 }
 
 #[test]
-fn a_recording_that_fell_behind_says_so() {
-    let path = new_file("behind.jsonl");
+fn a_recording_that_lost_events_is_marked_incomplete() {
+    let path = new_file("incomplete.jsonl");
     let (mut recorder, duty) = recorder::start(&path, &header()).expect("a new file");
     let at_us = header().started_us;
     recorder.take(at_us, &NodeEvent::Tick);
     recorder.take(at_us, &call(BODIES_MAX_BYTES + 1));
     recorder.take(at_us, &NodeEvent::Tick);
     recorder.finish();
-    duty.stop().expect("all is written");
+    duty.stop().expect("the recording is written");
     let text = std::fs::read_to_string(&path).expect("the recording");
     let (report, problem) = replay(&text).expect("a header");
     assert_eq!(report.events, 1);
@@ -77,9 +77,9 @@
 }
 
 #[test]
-fn the_program_names_the_line_where_a_trace_is_cut() {
-    let path = new_file("cut.jsonl");
-    let text = kept();
+fn the_program_names_the_line_where_a_trace_is_truncated() {
+    let path = new_file("truncated.jsonl");
+    let text = sample_trace();
     let lines: Vec<&str> = text.lines().take(20).collect();
     std::fs::write(&path, lines.join("\n")).expect("a new file");
     let output = Command::new(env!("CARGO_BIN_EXE_aspenspring"))
@@ -87,23 +87,24 @@
         .arg(&path)
         .output()
         .expect("the program runs");
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(1), "{said}");
-    assert!(said.contains("line 21: the trace is cut"), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(1), "{stderr}");
+    assert!(stderr.contains("line 21: the trace is truncated"), "{stderr}");
 }
 
 #[test]
-fn each_outcome_that_does_not_hold_is_named() {
-    let stated = r#"{"title": "", "stated": [
+fn each_expectation_that_is_not_met_is_named() {
+    let expectations = r#"{"title": "", "stated": [
         {"because": "holds", "of": ["/runs"], "min": 1},
         {"because": "too few", "of": ["/runs", "/events"], "min": 100000},
         {"because": "too many", "of": ["/callers/reasons/answered 2xx"], "max": 1},
         {"because": "never happened", "of": ["/callers/reasons/not-run shed"], "min": 1},
         {"because": "misspelt", "of": ["/callers/answerd"], "max": 1},
         {"because": "nothing", "of": ["/runs"]}]}"#;
-    let stated: Expectations = serde_json::from_str(stated).expect("stated outcomes");
-    let (report, _) = replay(&kept()).expect("a header");
-    let differences = stated.differences(&report).expect("figures").join("\n");
+    let expectations: Expectations =
+        serde_json::from_str(expectations).expect("valid expectations");
+    let (report, _) = replay(&sample_trace()).expect("a header");
+    let differences = expectations.differences(&report).expect("a report in JSON").join("\n");
     for because in ["too few", "too many", "never happened", "answerd", "nothing"] {
         assert!(differences.contains(because), "{because} is missing in {differences}");
     }
