--- a/src/replay/mod.rs
+++ b/src/replay/mod.rs
@@ -3,8 +3,8 @@
 //! A trace is a JSON Lines file: a [`Header`], then one timestamped event per line, then an [`End`]
 //! line with the result of the recording. `aspenspring node --record` writes it.
 
+mod attempts;
 mod expect;
-mod sight;
 mod tally;
 mod trace;
 
--- a/src/replay/tally.rs
+++ b/src/replay/tally.rs
@@ -12,7 +12,7 @@
 use crate::node::note::outcome_of;
 use crate::node::{CallEnd, NodeAction, NodeEvent, Note, TargetCall, Ticket, header};
 
-use super::sight::AttemptTracker;
+use super::attempts::AttemptTracker;
 
 /// The decisions of a node over a whole trace.
 #[derive(Clone, Debug, Default, Serialize)]
