--- a/src/replay/trace.rs
+++ b/src/replay/trace.rs
@@ -74,7 +74,7 @@
     },
     /// The end line is missing.
     #[error("line {line}: the trace is truncated: the end line is missing")]
-    Cut {
+    Truncated {
         /// The line where the end was expected, counted from 1.
         line: usize,
     },
@@ -113,11 +113,11 @@
     ///
     /// # Errors
     ///
-    /// `Malformed`, `Incomplete` or `Cut`.
+    /// `Malformed`, `Incomplete` or `Truncated`.
     pub fn next_event(&mut self) -> Result<Option<(u64, NodeEvent)>, TraceError> {
         self.line += 1;
         let line = self.line;
-        let Some(text) = self.lines.next() else { return Err(TraceError::Cut { line }) };
+        let Some(text) = self.lines.next() else { return Err(TraceError::Truncated { line }) };
         match parse(line, text)? {
             Line { at_us: Some(at_us), event: Some(event), end: None } => {
                 if at_us < self.at_us {
--- a/tests/node_traces.rs
+++ b/tests/node_traces.rs
@@ -32,7 +32,7 @@
     let without_last_line = rest.join("\n");
     let with_half_line = format!("{without_last_line}\n{}", &last[..last.len() / 2]);
     let without_result = replay(&without_last_line).map(|(_, problem)| problem);
-    if !matches!(without_result, Ok(Some(TraceError::Cut { line })) if line == lines.len()) {
+    if !matches!(without_result, Ok(Some(TraceError::Truncated { line })) if line == lines.len()) {
         return Some(format!("replay without the last line gave {without_result:?}"));
     }
     let half_result = replay(&with_half_line).map(|(_, problem)| problem);
