--- a/src/admission/arm.rs
+++ b/src/admission/arm.rs
@@ -18,9 +18,9 @@
 pub(super) const WINDOW_US: u64 = 100 * US_PER_MS;
 /// The share of the limit that may be used to probe an unresponsive target.
 const PROBE_LIMIT_SHARE: f64 = 0.06;
-/// The share of its measured capacity that an unresponsive target is assumed to have.
+/// The fraction of its measured capacity that an unresponsive target is assumed to have.
 const UNRESPONSIVE_CAPACITY_SHARE: f64 = 0.1;
-/// The largest factor by which overload lengthens the Retry-After of a refused call.
+/// The largest factor by which the load lengthens the Retry-After of a refused call.
 const RETRY_LOAD_FACTOR_MAX: f64 = 10.0;
 
 /// The queue may hold enough calls to wait this many times the delay that counts as overload.
@@ -78,7 +78,7 @@
     reserve: Reserve,
     /// When the current window began, in microseconds.
     window_since_us: u64,
-    /// Whether all slots were in use at some time in the window.
+    /// Whether the limit was reached at some time in the window.
     was_full: bool,
     /// Running calls that are probes.
     probes: u32,
@@ -284,7 +284,7 @@
         }
     }
 
-    /// When the state changes without a further event, in microseconds.
+    /// When `process_queue` is due if no event comes before, in microseconds.
     pub fn next_wake_us(&self) -> Option<u64> {
         let window_end_us = self.window_since_us + WINDOW_US;
         let Some(deadline_us) = self.queue.earliest_deadline_us() else {
@@ -302,9 +302,10 @@
         Decision::Refuse { attempt: call.attempt, refusal: Refusal { reason, retry_after_ms } }
     }
 
-    /// The time until the queue has drained plus, for a call below the floor, the time until the
-    /// floor could have fallen to its level; multiplied by the overload factor, so that more
-    /// callers per slot wait longer.
+    /// The Retry-After of a refused call, in milliseconds: the time until the queue has drained
+    /// plus, for a call below the floor, the time until the floor could have fallen to its level.
+    /// The sum is multiplied by the load, so that callers wait longer the more of them there are
+    /// per slot.
     fn retry_after_ms(&self, call: &Candidate) -> u32 {
         let drain_us = self.wait_us(self.queue.len());
         let windows = self.floor.windows_until(call.level);
@@ -329,14 +330,15 @@
         by_share.max(by_time as usize)
     }
 
-    /// Whether a new call could not be answered before its deadline.
+    /// Whether a new call is expected to miss its deadline.
     fn would_miss_deadline(&self, now_us: u64, call: &Candidate) -> bool {
         let left_us = call.deadline_us.saturating_sub(now_us);
         if left_us == 0 {
             return true;
         }
         if self.running.is_empty() {
-            // At least one call always runs, so that the measured latency can be corrected.
+            // A call always runs on an idle target, so that a latency estimate that has become too
+            // high can be corrected.
             return false;
         }
         let min_latency_us = self.min_latency_us();
@@ -354,7 +356,7 @@
         (calls as f64 * self.latency.hold_us() / f64::from(self.limit())) as u64
     }
 
-    /// The latency that most calls exceed, in microseconds.
+    /// The latency that most calls exceed, in microseconds; 0 under a policy without a limit.
     fn min_latency_us(&self) -> u64 {
         match self.policy.limit {
             LimitRule::None => 0,
@@ -423,7 +425,7 @@
         }
     }
 
-    /// The calls that the target can complete per microsecond.
+    /// The estimated number of calls that the target can complete per microsecond.
     fn capacity_per_us(&self) -> f64 {
         let hold_us = self.latency.hold_us().max(1.0);
         let share = if self.is_unresponsive() { UNRESPONSIVE_CAPACITY_SHARE } else { 1.0 };
--- a/src/admission/downstream.rs
+++ b/src/admission/downstream.rs
@@ -1,4 +1,4 @@
-//! Shedding floors of the services that the target calls in turn.
+//! Shedding floors of downstream services: those that the target itself calls.
 
 use std::collections::HashMap;
 
@@ -26,7 +26,7 @@
 }
 
 impl Downstream {
-    /// Records a floor that came with an answer.
+    /// Records the floor of `service`, replacing the one reported before.
     pub fn record(
         &mut self,
         now_us: u64,
@@ -47,7 +47,7 @@
         reports.push(ReportedFloor { service: service.to_owned(), floor, at_us: now_us });
     }
 
-    /// The highest floor that calls of this arm and class meet downstream.
+    /// The highest decayed floor of the downstream services that calls of this arm and class use.
     pub fn floor(&self, now_us: u64, arm: ArmId, class: ClassRank) -> Level {
         let Some(reports) = self.reports.get(&(arm, class)) else {
             return Level::LOWEST;
@@ -60,10 +60,10 @@
     }
 }
 
-/// The floor, lowered for the time since it was last reported.
+/// The reported floor, lowered by its age.
 ///
 /// It decays linearly instead of ending at once: a class that is shed completely sends nothing
-/// downstream that could refresh its floor, and must not return in one burst.
+/// downstream that could refresh its floor, and must not be admitted again in one burst.
 fn decayed(report: &ReportedFloor, now_us: u64) -> Level {
     let age_us = now_us.saturating_sub(report.at_us);
     let decaying_us = age_us.saturating_sub(FULL_US);
--- a/src/admission/event.rs
+++ b/src/admission/event.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of admission control.
+//! Input and output types of admission control.
 
 use crate::call::{ArmId, AttemptId, Level, Refusal};
 
--- a/src/admission/floor.rs
+++ b/src/admission/floor.rs
@@ -1,6 +1,6 @@
 //! The shedding floor: the level below which calls are refused before they are queued.
 //!
-//! After DAGOR (Zhou et al., SoCC 2018): arrivals are counted by level, and when a window shows
+//! Based on DAGOR (Zhou et al., SoCC 2018): arrivals are counted by level, and when a window shows
 //! overload the floor rises to where the calls at and above it fit the capacity. In windows without
 //! overload it falls again, in steps that double, so that it is gone soon after the overload.
 
@@ -12,26 +12,27 @@
 /// A window with a larger share of evicted calls than this shows overload even if the floor was
 /// raised just before it.
 const SEVERE_EVICTED_SHARE: f64 = 0.2;
-/// The floor is raised until no more than this share of the calls admitted so far is admitted.
+/// The floor is raised so that it admits at most this share of the arrivals admitted before.
 const ADMITTED_SHRINK: f64 = 0.98;
-/// The target load, as a share of the capacity, when the arrivals below the floor are known.
-const TARGET_LOAD: f64 = 1.03;
+/// The load, as a share of the capacity, that the floor is set to admit when it is derived from the
+/// counted arrivals.
+const ADMITTED_LOAD: f64 = 1.03;
 
 /// The admitted load, as a share of the capacity, below which the target counts as idle.
 const IDLE_LOAD: f64 = 0.85;
-/// How many standard deviations of the arrivals the admitted load must be below that share.
+/// By how many standard deviations of the arrivals the admitted load must be below `IDLE_LOAD`.
 const IDLE_DEVIATIONS: f64 = 1.5;
 /// The factor by which downward steps grow.
 const STEP_GROWTH: usize = 2;
 /// The factor by which downward steps grow while the target is idle.
 const IDLE_STEP_GROWTH: usize = 4;
 
-/// What the floor is decided from, besides the arrivals.
+/// The inputs to the floor at the end of a window, besides the arrivals.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WindowInput {
     /// The calls that the target can complete per microsecond.
     pub capacity_per_us: f64,
-    /// Whether all slots were in use at some time in the window.
+    /// Whether the limit was reached at some time in the window.
     pub was_full: bool,
     /// The queueing delay that counts as overload, in microseconds.
     pub delay_max_us: u64,
@@ -43,7 +44,7 @@
     /// Calls below this level are shed.
     level: Level,
     arrivals: Histogram,
-    /// How many levels the floor falls after the next window without overload.
+    /// How many indexes of the histogram the floor falls after the next window without overload.
     step: usize,
     /// Arrivals at or above the floor in this window.
     admitted: u32,
@@ -143,31 +144,31 @@
     fn raise(&mut self, input: &WindowInput) {
         self.step = 1;
         let current = self.arrivals.index(self.level);
-        let capacity = input.capacity_per_us * self.arrivals.time_us() * TARGET_LOAD;
+        let capacity = input.capacity_per_us * self.arrivals.time_us() * ADMITTED_LOAD;
         let admitted = self.arrivals.total_from(current);
         let index = self.arrivals.lowest_index_within(capacity.min(admitted * ADMITTED_SHRINK));
         // A level whose calls were all started in time must not be shed, whatever the histogram
         // says.
         let above_overloaded =
             self.highest_overloaded.map_or(0, |level| self.arrivals.index(level) + 1);
-        let index = index.min(above_overloaded).min(self.arrivals.highest()).max(current);
+        let index = index.min(above_overloaded).min(self.arrivals.highest_index()).max(current);
         self.level = self.arrivals.level(index);
     }
 
     /// Lowers the floor by a step.
-    fn lower(&mut self, input: &WindowInput, idle: bool) {
+    fn lower(&mut self, input: &WindowInput, is_idle: bool) {
         if !self.is_raised() {
             return;
         }
         let current = self.arrivals.index(self.level);
         let mut index = current.saturating_sub(self.step.max(1));
         if input.was_full {
-            // Admits no more of the known arrivals below the floor than fit the capacity.
-            let capacity = input.capacity_per_us * self.arrivals.time_us() * TARGET_LOAD;
+            // Admits only as many of the arrivals counted below the floor as fit the capacity.
+            let capacity = input.capacity_per_us * self.arrivals.time_us() * ADMITTED_LOAD;
             index = index.max(self.arrivals.lowest_index_within(capacity)).min(current - 1);
         }
         let fallen = current - index;
-        let growth = if idle { IDLE_STEP_GROWTH } else { STEP_GROWTH };
+        let growth = if is_idle { IDLE_STEP_GROWTH } else { STEP_GROWTH };
         self.step = (fallen * growth).max(1);
         self.level = self.arrivals.level(index);
     }
--- a/src/admission/histogram.rs
+++ b/src/admission/histogram.rs
@@ -6,10 +6,11 @@
 const LEVELS_PER_CLASS: usize = 256;
 /// The weight that earlier windows keep when a window is added.
 const PAST_WEIGHT: f64 = 0.8;
-/// A window whose arrivals differ from the expected ones by more than this factor replaces the
-/// past.
+/// A window whose number of arrivals differs from the expected one by more than this factor replaces
+/// the past windows.
 const CHANGE_FACTOR: f64 = 1.5;
-/// A window replaces the past only if it has, or was expected to have, more arrivals than this.
+/// A window replaces the past windows only if it has, or was expected to have, more arrivals than
+/// this.
 const CHANGE_ARRIVALS_MIN: u32 = 20;
 
 /// The arrivals of one class.
@@ -58,7 +59,7 @@
         self.arrivals += 1;
     }
 
-    /// Adds the current window to the past, and returns its arrivals.
+    /// Adds the current window to the past ones, and returns the number of its arrivals.
     pub fn close_window(&mut self, window_us: u64) -> u32 {
         let past_weight = if self.has_changed(window_us) { 0.0 } else { PAST_WEIGHT };
         self.time_us = self.time_us * past_weight + window_us as f64;
@@ -72,12 +73,12 @@
         std::mem::take(&mut self.arrivals)
     }
 
-    /// The weighted number of past arrivals.
+    /// All arrivals in the past windows, weighted.
     pub fn total(&self) -> f64 {
         self.total
     }
 
-    /// The weighted time over which they were counted, in microseconds.
+    /// The weighted length of the past windows, in microseconds.
     pub fn time_us(&self) -> f64 {
         self.time_us
     }
@@ -92,7 +93,8 @@
         }
     }
 
-    pub fn highest(&self) -> usize {
+    /// The highest index of a level; 0 if no class was seen.
+    pub fn highest_index(&self) -> usize {
         (self.classes.len() * LEVELS_PER_CLASS).saturating_sub(1)
     }
 
@@ -131,7 +133,7 @@
         0
     }
 
-    /// Whether the current window differs so much that the past does not predict it.
+    /// Whether the arrivals of the current window differ too much from those of the past windows.
     fn has_changed(&self, window_us: u64) -> bool {
         let expected = match self.time_us > 0.0 {
             true => self.total * window_us as f64 / self.time_us,
--- a/src/admission/latency_stats.rs
+++ b/src/admission/latency_stats.rs
@@ -8,7 +8,8 @@
 const LOW_STEP_SHARE: f64 = 0.05;
 /// The factor by which the low latency decays in a window without answers.
 const LOW_DECAY: f64 = 0.9;
-/// How many samples move the smoothed holding time by two thirds.
+/// The number of samples over which the holding time is averaged: that many move the average two
+/// thirds of the way to a new value.
 const HOLD_SAMPLES: f64 = 200.0;
 /// A target is unresponsive after this many holding times without an answer.
 const UNRESPONSIVE_HOLDS: f64 = 8.0;
@@ -38,7 +39,7 @@
 }
 
 impl LatencyStats {
-    /// Records that a call was started while no other was running.
+    /// Records that the target became busy: a call was started while no other was running.
     pub fn record_busy(&mut self, now_us: u64) {
         self.last_answer_us = now_us;
     }
@@ -76,7 +77,7 @@
     }
 
     /// Closes a window. Without answers the low latency decays, so that a target that has become
-    /// faster is detected even when all calls seemed unable to meet their deadlines.
+    /// faster is detected even while all calls are refused as unable to meet their deadlines.
     pub fn close_window(&mut self) {
         if self.answers == 0 {
             self.low_latency_us *= LOW_DECAY;
--- a/src/admission/limiter.rs
+++ b/src/admission/limiter.rs
@@ -12,13 +12,13 @@
 const WINDOW_MIN_US: u64 = 100 * US_PER_MS;
 /// The length after which a window is closed even with too few answers, in microseconds.
 const WINDOW_MAX_US: u64 = 2_000 * US_PER_MS;
-/// The answers that a window needs for a reliable mean.
+/// The number of answers that a window needs for a reliable mean.
 const WINDOW_ANSWERS: u32 = 32;
 /// The minimum limit as a share of the slots.
 const LIMIT_MIN_SHARE: f64 = 0.1;
 /// The weight of a faster window in the baseline.
 const BASELINE_WEIGHT_FASTER: f64 = 0.25;
-/// The weight of a slower window in the baseline, if the target was lightly used.
+/// The weight of a slower window in the baseline; only if the target was lightly used.
 const BASELINE_WEIGHT_SLOWER: f64 = 0.05;
 /// A window that used no more than this share of the limit counts as lightly used.
 const LIGHT_UTILISATION: f64 = 0.5;
@@ -44,7 +44,8 @@
     running_max: u32,
 }
 
-/// The state before the limit began to shrink, kept to evaluate whether that helps.
+/// The state before the limit began to shrink, kept to evaluate whether the smaller limit reduces the
+/// latency.
 #[derive(Clone, Copy, Debug)]
 struct Trial {
     limit: f64,
@@ -55,7 +56,7 @@
 /// The adaptive limit of one arm.
 #[derive(Clone, Debug)]
 pub(super) struct Limiter {
-    /// The limit; kept as a fraction so that small steps add up.
+    /// The limit; not rounded, so that small steps add up.
     limit: f64,
     /// The latency of the unloaded target, in microseconds; 0 while unknown.
     baseline_us: f64,
@@ -85,17 +86,17 @@
         self.window.running_max = self.window.running_max.max(running);
     }
 
-    /// Records a latency. A call without a good answer counts only if it took longer than the
+    /// Records a latency. A call without a healthy answer counts only if it took longer than the
     /// baseline: fast errors must not look like a fast target.
-    pub fn record_latency(&mut self, latency_us: u64, good: bool) {
-        if !good && (latency_us as f64) < self.baseline_us {
+    pub fn record_latency(&mut self, latency_us: u64, healthy: bool) {
+        if !healthy && (latency_us as f64) < self.baseline_us {
             return;
         }
         self.window.latency_sum_us += latency_us;
         self.window.answers += 1;
     }
 
-    /// Closes the window if it is over, and adjusts the limit.
+    /// Closes the window if it is over, and adjusts the limit unless the target is still warming up.
     pub fn close_window_if_due(
         &mut self,
         now_us: u64,
@@ -129,8 +130,8 @@
         let adjusted = match *rule {
             LimitRule::Gradient { tolerance, smoothing } => {
                 let gradient = (tolerance * self.baseline_us / latency_us).clamp(0.5, 1.0);
-                let target = before * gradient + before.sqrt();
-                before + smoothing * (target - before)
+                let desired = before * gradient + before.sqrt();
+                before + smoothing * (desired - before)
             }
             LimitRule::Delay { tolerance, backoff } => {
                 match latency_us > tolerance * self.baseline_us {
@@ -140,8 +141,9 @@
             }
             LimitRule::None | LimitRule::Static { .. } => return,
         };
-        let is_unused = utilisation < 0.9;
-        self.limit = if is_unused { adjusted.min(before) } else { adjusted };
+        // The limit must not grow while less than 90 % of it is used.
+        let is_underused = utilisation < 0.9;
+        self.limit = if is_underused { adjusted.min(before) } else { adjusted };
         self.limit = self.limit.clamp(f64::from(limit_min(ceiling as u32)), ceiling);
         self.evaluate_trial(before, latency_us, ceiling);
     }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -23,9 +23,9 @@
 use crate::clock::US_PER_MS;
 use crate::config::{PolicySettings, Rules, ServiceSettings};
 
-/// The Retry-After of a node without a usable target, in milliseconds.
+/// The Retry-After of refusals while the node has no usable target, in milliseconds.
 const NOT_READY_RETRY_MS: u32 = 500;
-/// The share of the limit that a target gets when it has just started.
+/// The fraction of its limit that a target may use when it has just started.
 const WARM_UP_START_SHARE: f64 = 0.1;
 
 /// The node's own target.
@@ -100,7 +100,7 @@
     capacity_divided_us: u64,
     /// Floors reported by downstream services.
     downstream: Downstream,
-    /// When `poll` is due because of an event that returned no decisions, in microseconds.
+    /// When `poll` is due after an event that cannot return decisions itself, in microseconds.
     due_us: Option<u64>,
 }
 
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -28,7 +28,7 @@
 /// Queued calls, by level, then deadline, then arrival; or by arrival alone (FIFO).
 #[derive(Debug)]
 pub(super) struct Queue {
-    /// Whether calls are ordered by level and deadline.
+    /// Whether calls are ordered by level and deadline before arrival.
     by_level: bool,
     /// The arrival number of the next call.
     next_arrival: u64,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Changes the order; calls that are already queued keep their arrival numbers' order.
+    /// Changes the order; calls that are already queued keep their order of arrival.
     pub fn set_order(&mut self, by_level: bool) {
         if self.by_level == by_level {
             return;
--- a/src/admission/reserve.rs
+++ b/src/admission/reserve.rs
@@ -1,4 +1,4 @@
-//! Slots that are reserved for higher classes.
+//! Slots that lower classes must leave free for higher ones.
 
 use crate::call::ClassRank;
 use crate::clock::US_PER_S;
@@ -49,7 +49,7 @@
         class.running = class.running.saturating_sub(1);
     }
 
-    /// Updates the means.
+    /// Updates the mean numbers of running calls.
     pub fn update_means(&mut self, now_us: u64) {
         let age_us = now_us.saturating_sub(self.means_updated_us) as f64;
         self.means_updated_us = now_us;
--- a/src/admission/share.rs
+++ b/src/admission/share.rs
@@ -1,7 +1,7 @@
 //! Division of a target's capacity between the arms.
 
 /// Divides `total` into whole parts in proportion to `shares`: the remainder goes to the largest
-/// fractions, and each share gets at least 1.
+/// fractions. Each part is at least 1, so the sum may exceed `total`.
 pub(super) fn divide(total: u32, shares: &[f64]) -> Vec<u32> {
     let sum: f64 = shares.iter().sum();
     let mut parts = Vec::with_capacity(shares.len());
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Tests the single rules of admission control through its public interface.
+//! Tests the rules of admission control one by one through its public interface.
 
 use aspenspring::admission::{Admission, CancelResult, Candidate, Decision, End, TargetState};
 use aspenspring::call::{ArmId, AttemptId, ClassRank, Level, NodeId, RefusalReason};
@@ -168,7 +168,7 @@
     rules
 }
 
-/// An admission with four slots that has answered one call of 10 ms.
+/// Admission control for a target with four slots that has answered one call after 10 ms.
 fn with_one_answer() -> Admission {
     let mut admission = Admission::new(0, &rules_with_classes(), "s");
     admission.set_target(0, TargetState::Serving, 4, 40);
@@ -194,7 +194,7 @@
         admission.finish(now_us, attempt(sequence), OK, &mut out);
     }
     out.clear();
-    // The class used just under four slots on average, so three are reserved and one is free.
+    // The class used slightly less than four slots on average, so three are reserved and one is free.
     admission.offer(now_us, call(10, 0x100, FAR_DEADLINE_US), &mut out);
     admission.offer(now_us, call(11, 0x100, FAR_DEADLINE_US), &mut out);
     assert_eq!(ran(&out), [10], "the other slots are still reserved");
--- a/tests/admission_load.rs
+++ b/tests/admission_load.rs
@@ -1,6 +1,6 @@
 //! Simulates admission control under load: a target with a number of slots, random service times
-//! and random arrivals, stepped event by event with a fixed seed. It measures only how much of the
-//! target's capacity turns into answers within the deadline; it does not model a site.
+//! and random arrivals, stepped event by event with fixed seeds. It measures which share of the
+//! target's capacity produces answers within the deadline; it does not model a whole site.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -19,7 +19,7 @@
 const DELAY: &str = r#"{"kind": "delay", "tolerance": 2.0, "backoff": 0.9}"#;
 /// How often senders learn the floor.
 const FLOOR_INTERVAL_US: u64 = 50_000;
-const NEVER: (u64, u64) = (u64::MAX, u64::MAX);
+const NO_STALL: (u64, u64) = (u64::MAX, u64::MAX);
 
 /// One simulated scenario.
 #[derive(Clone, Copy)]
@@ -28,14 +28,16 @@
     refuse_early: bool,
     /// Whether senders drop calls below the floor that they last learned.
     senders_apply_floor: bool,
-    /// The announced and the real number of slots.
+    /// The announced and the actual number of slots.
     slots: (u32, u32),
     service_us: f64,
     deadline_us: u64,
-    /// Arrivals at a time in seconds, as multiples of the capacity: browsing and confirmations.
+    /// The arrival rates at a time in seconds, as multiples of the capacity: of browsing calls and of
+    /// confirmations.
     load: fn(f64) -> (f64, f64),
     /// The factor on the service time at a time in seconds.
     slowdown: fn(f64) -> f64,
+    /// The beginning and the end of the time in which the target makes no progress.
     stalled_us: (u64, u64),
     length_us: u64,
 }
@@ -49,7 +51,7 @@
     deadline_us: SECOND_US,
     load: |_| (0.2, 0.3),
     slowdown: |_| 1.0,
-    stalled_us: NEVER,
+    stalled_us: NO_STALL,
     length_us: 10 * SECOND_US,
 };
 const STATIC: &str = r#"{"kind": "static"}"#;
@@ -63,7 +65,7 @@
     ended_us: u64,
     is_settled: bool,
     is_good: bool,
-    /// Refused for another reason than the floor.
+    /// Whether admission control refused it for another reason than the floor.
     refused_late: bool,
 }
 
@@ -81,12 +83,13 @@
     rng: SmallRng,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     calls: Vec<Call>,
-    /// Calls queued inside the target, and how many it is working on.
+    /// Calls queued inside the target.
     target_queue: VecDeque<usize>,
+    /// How many calls the target is working on.
     in_service: u32,
     now_us: u64,
     event_count: u64,
-    /// The limit in each second.
+    /// The limit at the start of each second.
     limits: Vec<u32>,
     /// The floor that senders last learned, and when.
     learned_floor: (Level, u64),
@@ -248,31 +251,32 @@
         self.admission.finish(self.now_us, attempt, end, out);
     }
 
-    /// Calls that arrived between two times and were answered in time, as a share of the capacity.
+    /// The rate of calls that arrived between two times and were answered in time, as a share of the
+    /// capacity.
     fn goodput(&self, from_s: f64, to_s: f64) -> f64 {
         let capacity =
             f64::from(self.scenario.slots.1) / self.scenario.service_us * SECOND_US as f64;
-        let is_good = self.arrived_between(from_s, to_s).filter(|call| call.is_good).count();
-        is_good as f64 / (capacity * (to_s - from_s))
+        let good = self.arrived_between(from_s, to_s).filter(|call| call.is_good).count();
+        good as f64 / (capacity * (to_s - from_s))
     }
 
     /// The share of the confirmations that were answered in time.
     fn confirmed(&self, from_s: f64, to_s: f64) -> f64 {
         let all = self.arrived_between(from_s, to_s).filter(|call| call.class == CONFIRM);
-        let (is_good, all) =
-            all.fold((0, 0), |(is_good, all), call| (is_good + u32::from(call.is_good), all + 1));
-        f64::from(is_good) / f64::from(all)
+        let (good, all) =
+            all.fold((0, 0), |(good, all), call| (good + u32::from(call.is_good), all + 1));
+        f64::from(good) / f64::from(all)
     }
 
     /// The median time from arrival to answer, in milliseconds.
     fn median_ms(&self, from_s: f64, to_s: f64) -> u64 {
-        let is_good = self.arrived_between(from_s, to_s).filter(|call| call.is_good);
-        let mut times: Vec<u64> = is_good.map(|call| call.ended_us - call.arrived_us).collect();
+        let good = self.arrived_between(from_s, to_s).filter(|call| call.is_good);
+        let mut times: Vec<u64> = good.map(|call| call.ended_us - call.arrived_us).collect();
         times.sort_unstable();
         times[times.len() / 2] / 1_000
     }
 
-    /// Wasted calls: those that ran but were not answered in time.
+    /// How many calls ran but were not answered in time.
     fn wasted(&self, from_s: f64, to_s: f64) -> f64 {
         self.arrived_between(from_s, to_s)
             .filter(|call| call.ran_us.is_some() && !call.is_good)
@@ -284,15 +288,14 @@
         self.calls.iter().filter(move |call| range.contains(&call.arrived_us))
     }
 
-    /// Calls that were refused although they were at or above the floor, per answered call.
+    /// Calls that were refused although they were at or above the floor, per call answered in time.
     fn refused_late(&self, from_s: f64, to_s: f64) -> f64 {
         let late = self.arrived_between(from_s, to_s).filter(|call| call.refused_late).count();
         late as f64
             / self.arrived_between(from_s, to_s).filter(|call| call.is_good).count().max(1) as f64
     }
 
-    /// Seconds from `end_s` until at least 95 % of the calls of every following fifth of a second
-    /// are answered.
+    /// Seconds from `end_s` until at least 95 % of the calls of every later 0.2 s interval are answered.
     fn recovery_s(&self, end_s: f64, until_s: f64) -> f64 {
         let mut recovered_s = end_s;
         let mut at_s = end_s;
@@ -308,7 +311,7 @@
     }
 }
 
-/// The range of a figure over several runs.
+/// The minimum, the median and the maximum of a figure over several runs.
 struct Spread {
     min: f64,
     median: f64,
@@ -422,7 +425,7 @@
     }
 }
 
-/// Random variation has more effect with few slots.
+/// Random variation has more effect with few slots, so the recovery times are not checked here.
 #[test]
 fn four_slots_meet_the_goals_for_goodput() {
     for (name, limit) in [("gradient", BASE.limit), ("delay", DELAY)] {
@@ -443,7 +446,7 @@
         let median_ms = run.median_ms(10.0, 19.0);
         let final_limit = run.limits[19];
         println!(
-            "{name}: 100 announced, 25 real: goodput {goodput:.3}, p50 {median_ms} ms, limit {final_limit}"
+            "{name}: 100 slots announced, 25 actual: goodput {goodput:.3}, p50 {median_ms} ms, limit {final_limit}"
         );
         assert!(goodput >= 0.95 && run.confirmed(2.0, 19.0) >= 0.999);
         assert!(limit == STATIC || final_limit <= 75, "{:?}", run.limits);
--- a/tests/admission_properties.rs
+++ b/tests/admission_properties.rs
@@ -1,6 +1,6 @@
 //! Property tests of admission control over random histories.
 //!
-//! Invariants on the order: when a call is evicted, no queued call of its arm has a lower level;
+//! Checks among others the order of decisions: when a call is evicted, no queued call of its arm has a lower level;
 //! when a call is started, no queued call of its arm has a higher one; when a call is shed, it is
 //! below the floor that is reported to senders.
 
@@ -67,16 +67,18 @@
     serde_json::from_str(&text).expect("the rules are well formed")
 }
 
-/// The expected state after the history.
+/// Admission control under test, with the state that is expected of it.
 struct Model {
     admission: Admission,
     arms: usize,
     now_us: u64,
     slots: u32,
     offered: u64,
+    /// All calls that were offered.
     calls: BTreeMap<AttemptId, Candidate>,
+    /// Running calls and when they started.
     running: BTreeMap<AttemptId, u64>,
-    waiting: BTreeSet<AttemptId>,
+    queued: BTreeSet<AttemptId>,
     /// The arm that decides on each call; it changes only when that arm is removed.
     arm_of: BTreeMap<AttemptId, ArmId>,
 }
@@ -85,19 +87,9 @@
     fn new() -> Self {
         let mut admission = Admission::new(0, &rules(3), "s");
         admission.set_target(0, TargetState::Serving, 8, 40);
-        let (running, waiting) = (BTreeMap::new(), BTreeSet::new());
+        let (running, queued) = (BTreeMap::new(), BTreeSet::new());
         let (calls, arm_of) = (BTreeMap::new(), BTreeMap::new());
-        Self {
-            admission,
-            arms: 3,
-            now_us: 0,
-            slots: 8,
-            offered: 0,
-            calls,
-            running,
-            waiting,
-            arm_of,
-        }
+        Self { admission, arms: 3, now_us: 0, slots: 8, offered: 0, calls, running, queued, arm_of }
     }
 
     fn apply(&mut self, step: &Step) {
@@ -172,7 +164,7 @@
         self.calls.insert(attempt, call);
         let is_known = usize::from(arm.0) < self.arms;
         self.arm_of.insert(attempt, if is_known { arm } else { ArmId(0) });
-        self.waiting.insert(attempt);
+        self.queued.insert(attempt);
         self.check_decisions(&out, Some(&call));
     }
 
@@ -181,23 +173,22 @@
         let Some(attempt) = self.calls.keys().nth(index % self.calls.len().max(1)).copied() else {
             return;
         };
-        let found = self.admission.cancel(self.now_us, attempt, &mut out);
-        let expected = match (self.waiting.contains(&attempt), self.running.contains_key(&attempt))
-        {
+        let result = self.admission.cancel(self.now_us, attempt, &mut out);
+        let expected = match (self.queued.contains(&attempt), self.running.contains_key(&attempt)) {
             (true, _) => CancelResult::WasQueued,
             (_, true) => CancelResult::IsRunning,
             _ => CancelResult::Unknown,
         };
-        assert_eq!(found, expected);
+        assert_eq!(result, expected);
         self.check_decisions(&out, None);
-        assert!(!self.waiting.contains(&attempt));
+        assert!(!self.queued.contains(&attempt));
     }
 
-    /// Checks decisions: each is the only one of its attempt, and they follow the priority order.
+    /// Checks that each decision is the only one on its attempt and follows the priority order.
     fn check_decisions(&mut self, out: &[Decision], offered: Option<&Candidate>) {
         for decision in out {
             let attempt = decision.attempt();
-            assert!(self.waiting.remove(&attempt), "a second decision on {attempt}");
+            assert!(self.queued.remove(&attempt), "a second decision on {attempt}");
             let call = self.calls[&attempt];
             match decision {
                 Decision::Run { .. } => {
@@ -222,15 +213,15 @@
                 // This arm's queue is FIFO.
                 continue;
             }
-            for waiting in &self.waiting {
-                let waiting = self.calls[waiting];
-                if self.arm_of[&waiting.attempt] != arm {
+            for attempt in &self.queued {
+                let queued = self.calls[attempt];
+                if self.arm_of[&queued.attempt] != arm {
                     continue;
                 }
                 match decision {
-                    Decision::Run { .. } => assert!(waiting.level <= call.level),
+                    Decision::Run { .. } => assert!(queued.level <= call.level),
                     Decision::Refuse { refusal, .. } => assert!(
-                        refusal.reason != RefusalReason::QueueFull || waiting.level >= call.level
+                        refusal.reason != RefusalReason::QueueFull || queued.level >= call.level
                     ),
                 }
             }
@@ -253,7 +244,7 @@
             let slots = if self.slots == 0 { 8 } else { self.slots };
             assert!(load.limit >= 1 && load.limit <= slots, "{load:?}");
         }
-        assert_eq!((running, queued), (self.running.len(), self.waiting.len()));
+        assert_eq!((running, queued), (self.running.len(), self.queued.len()));
     }
 
     /// Finishes all calls and polls at each wake-up time until the state machine is idle.
@@ -283,7 +274,7 @@
             let next_us = self.admission.next_wake_us();
             assert!(next_us.is_none_or(|next_us| next_us > self.now_us), "no progress");
         }
-        assert!(self.running.is_empty() && self.waiting.is_empty());
+        assert!(self.running.is_empty() && self.queued.is_empty());
         assert!(
             self.admission.load(self.now_us + 1_000_000, ArmId(0), ClassRank(5)).floor
                 == Level::LOWEST
