--- a/src/retry/allowance.rs
+++ b/src/retry/allowance.rs
@@ -1,10 +1,11 @@
-//! Per-root limits on extra attempts, kept at the root's entry node.
+//! The retry allowance of each root: how many extra attempts its whole call tree may make. It is
+//! kept at the root's entry node.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::call::RootId;
 
-/// The extra attempts one root has left.
+/// The allowance of one root.
 #[derive(Clone, Copy, Debug)]
 struct Allowance {
     /// Extra attempts left.
@@ -16,18 +17,18 @@
 /// The retry allowances of all roots that entered at this node.
 ///
 /// Each root has one counter for its whole call tree. Calls carry no part of it, so a lost answer
-/// neither consumes nor adds allowance, and the extra attempts of a root never exceed the allowance
-/// it was opened with.
+/// neither consumes nor restores allowance, and the extra attempts of a root never exceed the
+/// allowance it was opened with.
 #[derive(Debug, Default)]
 pub struct RootAllowances {
-    /// The open roots by id.
+    /// The open roots by ID.
     roots: HashMap<RootId, Allowance>,
     /// The open roots ordered by deadline.
     deadlines: BTreeSet<(u64, RootId)>,
 }
 
 impl RootAllowances {
-    /// Creates a set with no open roots.
+    /// Creates an empty set of allowances.
     pub fn new() -> Self {
         Self::default()
     }
@@ -47,20 +48,20 @@
     ///
     /// Returns false if none is left, the deadline has passed or the root is not open here.
     pub fn take(&mut self, now_us: u64, root: RootId) -> bool {
-        let Some(entry) = self.roots.get_mut(&root) else {
+        let Some(allowance) = self.roots.get_mut(&root) else {
             return false;
         };
-        if entry.deadline_us <= now_us || entry.remaining == 0 {
+        if allowance.deadline_us <= now_us || allowance.remaining == 0 {
             return false;
         }
-        entry.remaining -= 1;
+        allowance.remaining -= 1;
         true
     }
 
     /// Removes the allowance of `root`, whose outcome is known.
     pub fn close(&mut self, root: RootId) {
-        if let Some(entry) = self.roots.remove(&root) {
-            self.deadlines.remove(&(entry.deadline_us, root));
+        if let Some(allowance) = self.roots.remove(&root) {
+            self.deadlines.remove(&(allowance.deadline_us, root));
         }
     }
 
--- a/src/retry/backoff.rs
+++ b/src/retry/backoff.rs
@@ -5,11 +5,11 @@
 use crate::clock::US_PER_MS;
 use crate::config::RetryRule;
 
-/// The backoff after attempt number `retry` of a hop, in microseconds.
+/// The time to wait after attempt number `retry` of a hop (0 for the first), in microseconds.
 ///
 /// The jitter is uniform between the minimum backoff and a ceiling that doubles with each retry up
 /// to the maximum backoff. It is added to the full Retry-After, so that callers refused at the same
-/// time do not retry at the same time. Every rule but `Bounded` retries without a wait.
+/// time do not retry at the same time. The wait is 0 for every rule but `Bounded`.
 pub fn backoff_us<R: Rng>(rule: &RetryRule, retry: u8, retry_after_ms: u32, rng: &mut R) -> u64 {
     let RetryRule::Bounded { backoff_ms, backoff_max_ms, .. } = rule else {
         return 0;
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget of one node for one arm, a token bucket refilled by successes.
+//! The retry budget of one node for one arm: a token bucket refilled by successful calls.
 
 use crate::clock::US_PER_S;
 
@@ -36,12 +36,12 @@
         Self { share: share.clamp(0.0, 1.0), earned: 0.0, free: FREE_TOKENS_MAX, updated_us: 0 }
     }
 
-    /// Changes the share of a retry that later successes earn.
+    /// Changes the share of a retry that each later success earns.
     pub fn set_share(&mut self, share: f64) {
         self.share = share.clamp(0.0, 1.0);
     }
 
-    /// Adds the tokens earned by a success.
+    /// Adds the tokens that a success earns.
     pub fn on_success(&mut self, now_us: u64) {
         self.update(now_us);
         self.earned += self.share;
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! Decides whether and when a failed attempt is retried.
+//! Decides whether and when an attempt that did not succeed is retried.
 //!
 //! A retry under the bounded rule passes three checks: the verdict must permit it ([`next_step`]),
 //! the sending node must have retry budget ([`RetryBudget`]), and the root must have allowance left
--- a/src/retry/step.rs
+++ b/src/retry/step.rs
@@ -1,4 +1,4 @@
-//! Chooses the step that follows a failed attempt: a final verdict or a retry.
+//! Chooses what follows a failed attempt: a final verdict or a retry.
 
 use bon::Builder;
 use rand::Rng;
@@ -13,14 +13,14 @@
 const RETRY_AFTER_HEADER: &str = "retry-after";
 const MS_PER_S: u32 = 1_000;
 
-/// A finished attempt and the conditions for retrying it.
+/// A failed attempt and the conditions for retrying it.
 #[derive(Clone, Copy, Debug, Builder)]
 pub struct Failure<'a> {
     /// The verdict of the attempt.
     pub verdict: &'a Verdict,
     /// Whether the request must not run twice.
     pub at_most_once: bool,
-    /// The number of the finished attempt: 0 for the first of its hop.
+    /// The number of the failed attempt: 0 for the first of its hop.
     pub retry: u8,
     /// The current time.
     pub now_us: u64,
@@ -38,8 +38,7 @@
 pub enum RetryStep {
     /// The verdict is final at this hop.
     Never,
-    /// Ask the node's retry budget and the root's entry node; retry after the backoff if both grant
-    /// it.
+    /// Retry after the backoff if the node's retry budget and the root's entry node both grant it.
     AfterGrant {
         /// The time to wait before the retry, in microseconds.
         backoff_us: u64,
@@ -54,13 +53,13 @@
 /// Whether and how soon a verdict permits a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Retryability {
-    /// A retry is not allowed or would fail in the same way.
+    /// A retry is not safe or is not expected to succeed.
     Never,
     /// A retry may succeed at once, on another target.
     Immediate,
     /// A retry may succeed after a wait.
     Delayed {
-        /// The minimum wait that the verdict asks for, in milliseconds.
+        /// The Retry-After of the verdict, in milliseconds.
         retry_after_ms: u32,
     },
 }
@@ -74,7 +73,7 @@
     }
 }
 
-/// The naive rule: retries at once whatever failed and is safe to repeat.
+/// The naive rule: retries every failure at once if that is safe.
 fn naive_step(retries: u8, failure: &Failure<'_>) -> RetryStep {
     let is_exhausted = failure.retry >= retries;
     let is_past_deadline = failure.now_us >= failure.deadline_us;
@@ -84,7 +83,7 @@
     RetryStep::After { backoff_us: 0 }
 }
 
-/// Whether a client that does not know the rest of the call chain would retry.
+/// Whether a client that knows nothing of the rest of the call chain would retry.
 fn is_naively_retryable(failure: &Failure<'_>) -> bool {
     match failure.verdict {
         Verdict::Answered(answer) => !failure.at_most_once && answer.status >= 500,
@@ -111,7 +110,7 @@
     RetryStep::AfterGrant { backoff_us }
 }
 
-/// Whether the verdict permits a retry.
+/// Whether and how soon the verdict permits a retry.
 fn retryability(failure: &Failure<'_>) -> Retryability {
     match failure.verdict {
         Verdict::NotRun(refusal) => refusal_retryability(refusal, failure.other_target_open),
@@ -121,13 +120,14 @@
     }
 }
 
-/// Whether a refusal permits a retry. An at-most-once request can be retried only after a refusal.
+/// Whether and how soon a refusal permits a retry. An at-most-once request can be retried only
+/// after a refusal.
 fn refusal_retryability(refusal: &Refusal, other_target_open: bool) -> Retryability {
     let delayed = Retryability::Delayed { retry_after_ms: refusal.retry_after_ms };
     match refusal.reason {
         reason if is_permanent(reason) => Retryability::Never,
-        // Below the floor of every target: the whole service is overloaded, and a retry would add
-        // to the load. The caller gets the Retry-After instead.
+        // If the call is below the floor of every target, the whole service is overloaded and a
+        // retry would add to the load. The caller gets the Retry-After instead.
         RefusalReason::Shed if other_target_open => Retryability::Immediate,
         RefusalReason::Shed => Retryability::Never,
         // The table service may be unavailable for an hour; only the caller can wait that long.
@@ -162,8 +162,8 @@
     Retryability::Delayed { retry_after_ms: retry_after_ms(answer) }
 }
 
-/// Whether an attempt that may have run is retried: if its answer was lost, but not if a retry
-/// would end in the same way.
+/// Whether an attempt that may have run is retried: yes if its answer was lost, no if a retry would
+/// end in the same way.
 fn doubt_retryability(doubt: Doubt) -> Retryability {
     match doubt {
         Doubt::Timeout | Doubt::ConnectionLost | Doubt::TargetBroke => {
--- a/tests/retry_tree.rs
+++ b/tests/retry_tree.rs
@@ -1,4 +1,4 @@
-//! Tests the limits on retries over whole call trees under random faults.
+//! Simulates whole call trees with random faults and checks the limits on retries.
 
 use aspenspring::call::{Doubt, HttpAnswer, RefusalReason, RootId, Verdict};
 use aspenspring::config::RetryRule;
@@ -11,18 +11,18 @@
 const DEPTH_MAX: usize = 9;
 const FAN_OUT_MAX: usize = 4;
 const DEADLINE_US: u64 = 60_000_000;
-/// A tree that branches makes no further calls beyond this number of attempts, which bounds the
-/// run time of a case.
+/// A tree that branches makes no further child calls after this number of attempts, which bounds
+/// the run time of a case.
 const ATTEMPTS_MAX: u64 = 30_000;
 
 /// The failure probabilities of an attempt at one depth.
 #[derive(Clone, Copy, Debug)]
 struct Faults {
-    /// Refused before the run.
+    /// The attempt is refused before it runs.
     refused: f64,
-    /// Run, but the answer is lost.
+    /// The attempt runs, but its answer is lost.
     lost: f64,
-    /// Answered with 503.
+    /// The attempt is answered with 503.
     failed: f64,
 }
 
@@ -41,6 +41,7 @@
     root: RootId,
     now_us: u64,
     attempts: u64,
+    /// Attempts beyond the first one of each call.
     extra: u64,
     runs_at_last_depth: u64,
 }
@@ -68,7 +69,7 @@
             let backoff_us = match next_step(self.rule, &failure, self.rng) {
                 RetryStep::Never => return verdict,
                 RetryStep::After { backoff_us } => backoff_us,
-                RetryStep::AfterGrant { backoff_us } if self.granted(depth) => backoff_us,
+                RetryStep::AfterGrant { backoff_us } if self.is_granted(depth) => backoff_us,
                 RetryStep::AfterGrant { .. } => return verdict,
             };
             assert!(self.now_us + backoff_us < DEADLINE_US, "retried past the deadline");
@@ -78,7 +79,8 @@
         }
     }
 
-    fn granted(&mut self, depth: usize) -> bool {
+    /// Asks the budget of the node and the allowance of the root for a retry.
+    fn is_granted(&mut self, depth: usize) -> bool {
         if !self.budgets[depth].try_take(self.now_us) {
             return false;
         }
@@ -186,9 +188,13 @@
 }
 
 fn faults() -> impl Strategy<Value = Faults> {
-    (0.0..1.0f64, 0.0..1.0f64, 0.0..1.0f64, 0.0..1.0f64).prop_map(|(refused, lost, failed, all)| {
-        Faults { refused: refused * all, lost: lost * all, failed: failed * all }
-    })
+    (0.0..1.0f64, 0.0..1.0f64, 0.0..1.0f64, 0.0..1.0f64).prop_map(
+        |(refused, lost, failed, scale)| Faults {
+            refused: refused * scale,
+            lost: lost * scale,
+            failed: failed * scale,
+        },
+    )
 }
 
 fn config(cases: u32) -> ProptestConfig {
