--- a/src/admission/histogram.rs
+++ b/src/admission/histogram.rs
@@ -6,8 +6,8 @@
 const LEVELS_PER_CLASS: usize = 256;
 /// The weight that earlier windows keep when a window is added.
 const PAST_WEIGHT: f64 = 0.8;
-/// A window whose number of arrivals differs from the expected one by more than this factor replaces
-/// the past windows.
+/// A window whose number of arrivals differs from the expected one by more than this factor
+/// replaces the past windows.
 const CHANGE_FACTOR: f64 = 1.5;
 /// A window replaces the past windows only if it has, or was expected to have, more arrivals than
 /// this.
--- a/src/admission/limiter.rs
+++ b/src/admission/limiter.rs
@@ -44,8 +44,8 @@
     running_max: u32,
 }
 
-/// The state before the limit began to shrink, kept to evaluate whether the smaller limit reduces the
-/// latency.
+/// The state before the limit began to shrink, kept to evaluate whether the smaller limit reduces
+/// the latency.
 #[derive(Clone, Copy, Debug)]
 struct Trial {
     limit: f64,
@@ -96,7 +96,8 @@
         self.window.answers += 1;
     }
 
-    /// Closes the window if it is over, and adjusts the limit unless the target is still warming up.
+    /// Closes the window if it is over, and adjusts the limit unless the target is still warming
+    /// up.
     pub fn close_window_if_due(
         &mut self,
         now_us: u64,
--- a/src/routing/cost.rs
+++ b/src/routing/cost.rs
@@ -15,8 +15,8 @@
 const DEGRADATION_TOLERANCE: f64 = 1.5;
 /// A target counts as degraded from this degradation on.
 const DEGRADED_MIN: f64 = 2.0;
-/// A target replaces the one whose turn it is if it is cheaper by more than this share of that one's
-/// cost.
+/// A target replaces the one whose turn it is if it is cheaper by more than this share of that
+/// one's cost.
 const COST_MARGIN: f64 = 0.15;
 /// The fraction of its share that a target gets at the start of its warm-up.
 const WARM_UP_START_SHARE: f64 = 0.1;
@@ -89,8 +89,8 @@
         self.total - self.near_bonus() < other.total - other.near_bonus()
     }
 
-    /// Whether a target of this cost is preferred to one of cost `other` by more than the inaccuracy
-    /// of the load reports.
+    /// Whether a target of this cost is preferred to one of cost `other` by more than the
+    /// inaccuracy of the load reports.
     pub fn is_clearly_below(&self, other: &Cost) -> bool {
         let margin = COST_MARGIN * other.total;
         self.total - self.near_bonus() < other.total - other.near_bonus() - margin
--- a/src/routing/health.rs
+++ b/src/routing/health.rs
@@ -4,8 +4,8 @@
 use super::record::ArmRecord;
 use crate::clock::US_PER_MS;
 
-/// A target is a straggler if its latency is this many times the baseline, and exceeds it by at least
-/// `STRAGGLER_EXCESS_US`.
+/// A target is a straggler if its latency is this many times the baseline, and exceeds it by at
+/// least `STRAGGLER_EXCESS_US`.
 const STRAGGLER_RATIO: f32 = 3.0;
 /// The minimum by which the latency of a straggler exceeds the baseline, in microseconds.
 const STRAGGLER_EXCESS_US: f32 = 2_000.0;
--- a/src/routing/observe.rs
+++ b/src/routing/observe.rs
@@ -128,8 +128,8 @@
     }
 }
 
-/// How much a refusal counts in the error rate of the target, from 0 to 1; `None` if it says nothing
-/// about the target.
+/// How much a refusal counts in the error rate of the target, from 0 to 1; `None` if it says
+/// nothing about the target.
 fn failure_weight(reason: RefusalReason) -> Option<f32> {
     match reason {
         RefusalReason::NotReady | RefusalReason::NoTarget | RefusalReason::TargetUnreachable => {
--- a/src/routing/record.rs
+++ b/src/routing/record.rs
@@ -15,8 +15,9 @@
 /// The time over which a reported load decays to nothing.
 const REPORT_DECAY_US: u64 = 1_000 * US_PER_MS;
 
-/// The time over which the latency and error rate of an unused target lose their weight. Without this, a
-/// target that once looked slightly worse than the others would never be tried again at low load.
+/// The time over which the latency and error rate of an unused target lose their weight. Without
+/// this, a target that once looked slightly worse than the others would never be tried again at low
+/// load.
 const RECORD_DECAY_US: u64 = 3_000 * US_PER_MS;
 
 /// The statistics of one target in one arm.
@@ -103,8 +104,8 @@
         self.latency_us.max(unanswered_us)
     }
 
-    /// The weight of the latency and the error rate: 1 while attempts are outstanding, then falling to
-    /// 0.
+    /// The weight of the latency and the error rate: 1 while attempts are outstanding, then falling
+    /// to 0.
     pub fn weight(&self, now_us: u64) -> f64 {
         if self.outstanding > 0 {
             return 1.0;
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -57,8 +57,8 @@
     /// The receiving node did not run it.
     Refused(RefusalReason),
     /// It is unknown whether the target ran it: no answer came, or the receiving node reported that
-    /// its target broke off. The latter counts as a failure of the target, and a missing answer does
-    /// if it was overdue.
+    /// its target broke off. The latter counts as a failure of the target, and a missing answer
+    /// does if it was overdue.
     Lost,
 }
 
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -194,7 +194,8 @@
         admission.finish(now_us, attempt(sequence), OK, &mut out);
     }
     out.clear();
-    // The class used slightly less than four slots on average, so three are reserved and one is free.
+    // The class used slightly less than four slots on average, so three are reserved and one is
+    // free.
     admission.offer(now_us, call(10, 0x100, FAR_DEADLINE_US), &mut out);
     admission.offer(now_us, call(11, 0x100, FAR_DEADLINE_US), &mut out);
     assert_eq!(ran(&out), [10], "the other slots are still reserved");
--- a/tests/admission_load.rs
+++ b/tests/admission_load.rs
@@ -32,8 +32,8 @@
     slots: (u32, u32),
     service_us: f64,
     deadline_us: u64,
-    /// The arrival rates at a time in seconds, as multiples of the capacity: of browsing calls and of
-    /// confirmations.
+    /// The arrival rates at a time in seconds, as multiples of the capacity: of browsing calls and
+    /// of confirmations.
     load: fn(f64) -> (f64, f64),
     /// The factor on the service time at a time in seconds.
     slowdown: fn(f64) -> f64,
@@ -251,8 +251,8 @@
         self.admission.finish(self.now_us, attempt, end, out);
     }
 
-    /// The rate of calls that arrived between two times and were answered in time, as a share of the
-    /// capacity.
+    /// The rate of calls that arrived between two times and were answered in time, as a share of
+    /// the capacity.
     fn goodput(&self, from_s: f64, to_s: f64) -> f64 {
         let capacity =
             f64::from(self.scenario.slots.1) / self.scenario.service_us * SECOND_US as f64;
@@ -295,7 +295,8 @@
             / self.arrived_between(from_s, to_s).filter(|call| call.is_good).count().max(1) as f64
     }
 
-    /// Seconds from `end_s` until at least 95 % of the calls of every later 0.2 s interval are answered.
+    /// Seconds from `end_s` until at least 95 % of the calls of every later 0.2 s interval are
+    /// answered.
     fn recovery_s(&self, end_s: f64, until_s: f64) -> f64 {
         let mut recovered_s = end_s;
         let mut at_s = end_s;
--- a/tests/admission_properties.rs
+++ b/tests/admission_properties.rs
@@ -1,8 +1,8 @@
 //! Property tests of admission control over random histories.
 //!
-//! Checks among others the order of decisions: when a call is evicted, no queued call of its arm has a lower level;
-//! when a call is started, no queued call of its arm has a higher one; when a call is shed, it is
-//! below the floor that is reported to senders.
+//! Checks among others the order of decisions: when a call is evicted, no queued call of its arm
+//! has a lower level; when a call is started, no queued call of its arm has a higher one; when a
+//! call is shed, it is below the floor that is reported to senders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/tests/routing_load.rs
+++ b/tests/routing_load.rs
@@ -1,5 +1,5 @@
-//! Simulates how the router distributes calls over slow, failing, new and distant targets, with fake
-//! targets that answer after a delay.
+//! Simulates how the router distributes calls over slow, failing, new and distant targets, with
+//! fake targets that answer after a delay.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
