--- a/src/admission/limiter.rs
+++ b/src/admission/limiter.rs
@@ -66,7 +66,7 @@
 }
 
 impl Limiter {
-    /// Creates a limit that starts at what the target announces.
+    /// Creates a limit that starts at the announced capacity.
     pub fn new() -> Self {
         Self { limit: f64::INFINITY, baseline_us: 0.0, window: Window::default(), trial: None }
     }
--- a/src/once/handover.rs
+++ b/src/once/handover.rs
@@ -56,7 +56,7 @@
     Answered(HttpAnswer),
     /// It may have run, or it ran and its answer was dropped.
     Doubted(Doubt),
-    /// It was permanently delegated to this node.
+    /// It was permanently delegated to the given node.
     Delegated(NodeId),
 }
 
@@ -66,7 +66,7 @@
     /// This number of keys is still running; the node must finish them first.
     #[error("{0} keys are still running")]
     StillRunning(usize),
-    /// The ledger was handed over earlier, to this node.
+    /// The ledger was handed over earlier, to the given node.
     #[error("the ledger was already handed over to {0}")]
     AlreadyHandedOver(NodeId),
     /// A node cannot hand its keys over to itself.
@@ -89,7 +89,7 @@
     /// The handover is meant for another node.
     #[error("the handover is meant for {0}")]
     OtherSuccessor(NodeId),
-    /// This node has already handed its own ledger over, to this node.
+    /// This node has already handed its own ledger over to the given node.
     #[error("this node has already handed its ledger over to {0}")]
     HandedOver(NodeId),
     /// The ledger has no room for this number of keys.
--- a/src/once/keyspace.rs
+++ b/src/once/keyspace.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// A key without what all keys of its keyspace have in common. Ordered by the time of minting.
+/// The part of a key that identifies it within its keyspace. Ordered by the time of minting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(super) struct LocalKey {
     /// When the key was minted, in milliseconds since the Unix epoch.
@@ -58,7 +58,7 @@
     Answered(Box<HttpAnswer>),
     /// It may have run, or it ran and its answer was dropped; this is the doubt to report.
     Doubted(Doubt),
-    /// It never ran here and never will: it was permanently delegated to this node.
+    /// It never ran here and never will: it was permanently delegated to the given node.
     Delegated(NodeId),
 }
 
--- a/src/once/ledger.rs
+++ b/src/once/ledger.rs
@@ -70,13 +70,13 @@
     /// The key is running or has run.
     #[error("the key may have run")]
     MayHaveRun,
-    /// The key was delegated earlier, to this node.
+    /// The key was delegated earlier, to the given node.
     #[error("the key was already delegated to {0}")]
     AlreadyDelegated(NodeId),
     /// There is no room to record the delegation.
     #[error("the ledger is full")]
     Full,
-    /// All keys were handed over to this node.
+    /// All keys were handed over to the given node.
     #[error("all keys were handed over to {0}")]
     HandedOver(NodeId),
 }
--- a/tests/admission_load.rs
+++ b/tests/admission_load.rs
@@ -17,7 +17,7 @@
 const SEEDS: u64 = if cfg!(debug_assertions) { 1 } else { 5 };
 const SIZES: &[u32] = if cfg!(debug_assertions) { &[25] } else { &[25, 130] };
 const DELAY: &str = r#"{"kind": "delay", "tolerance": 2.0, "backoff": 0.9}"#;
-/// How often senders learn the floor.
+/// The interval at which senders learn the current floor.
 const FLOOR_INTERVAL_US: u64 = 50_000;
 const NO_STALL: (u64, u64) = (u64::MAX, u64::MAX);
 
