--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -39,8 +39,8 @@
                 format!("at most deadline_max_ms, which is {}", class.deadline_max_ms),
             ));
         }
-        let is_mapped = rules.routes.items.iter().any(|(_, route)| route.class == class.name);
-        if rules.routes.is_complete && !is_mapped {
+        let is_assigned = rules.routes.items.iter().any(|(_, route)| route.class == class.name);
+        if rules.routes.is_complete && !is_assigned {
             let accepted = "a class that at least one route assigns";
             let found = format!("\"{}\", which no route assigns", class.name);
             findings.push(Finding::new(format!("/classes/{index}/name"), found, accepted));
--- a/src/config/check_node.rs
+++ b/src/config/check_node.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Whether two listeners cannot both be bound. Port 0 stands for any free port.
+/// Whether two listeners cannot both be bound. With port 0, the system chooses a free port for each.
 fn collides(one: SocketAddr, other: SocketAddr) -> bool {
     let is_any = one.ip().is_unspecified() || other.ip().is_unspecified();
     one.port() == other.port() && one.port() != 0 && (is_any || one.ip() == other.ip())
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -6,19 +6,19 @@
 use serde_json::{Map, Value, json};
 
 use super::describe::render;
-use super::load::{RULES, check_merged_rules, load_site, to_problems};
+use super::load::{RULES_POINTER, check_merged_rules, load_site, to_problems};
 use super::merge::merge;
 use super::problem::{Finding, Problem};
 use super::read::{read_file, read_text};
-use super::tree::{Kind, Tree, join_pointer};
+use super::tree::{Tree, TreeValue, join_pointer};
 use super::{Rules, validate};
 
 /// The member with the rules that all sites share.
 const BASE: &str = "base";
 /// The member with the overlay of each site, by site name.
 const SITES: &str = "sites";
-/// The file name that problems show for a document that was not read from a file.
-const NO_FILE: &str = "document";
+/// The file name in problems of a document that was not read from a file.
+const UNNAMED_FILE: &str = "document";
 
 /// The rules of all sites, as read from a document.
 #[derive(Clone, Debug, PartialEq)]
@@ -48,7 +48,7 @@
 /// Every problem of every site, not only of `site`: a document is accepted for all sites or for
 /// none.
 pub fn read_document(site: &str, text: &str) -> Result<Rules, Vec<Problem>> {
-    read_site_rules(Path::new(NO_FILE), text)?.for_site(site)
+    read_site_rules(Path::new(UNNAMED_FILE), text)?.for_site(site)
 }
 
 /// Reads the rules of all sites from the document in `text`, which came from `file`.
@@ -122,9 +122,9 @@
 /// Merges the overlay of one site into the shared rules and checks the result.
 fn merge_rules(base: &Tree, overlay: Option<&Tree>) -> Result<Rules, Vec<Problem>> {
     let mut problems = Vec::new();
-    let mut merged = merge(None, base.clone(), RULES, &mut problems);
+    let mut merged = merge(None, base.clone(), RULES_POINTER, &mut problems);
     if let Some(overlay) = overlay {
-        merged = merge(merged, overlay.clone(), RULES, &mut problems);
+        merged = merge(merged, overlay.clone(), RULES_POINTER, &mut problems);
     }
     match merged {
         Some(tree) => check_merged_rules(&tree, problems),
@@ -143,7 +143,7 @@
         "additionalProperties": false,
         "required": [BASE],
     });
-    // The contents of these members are checked against the schema of the rules.
+    // The contents of these members are left out; they are checked against the schema of the rules.
     let mut outline = document.to_value();
     for name in [BASE, SITES] {
         if let Some(Value::Object(members)) = outline.get_mut(name) {
@@ -152,7 +152,7 @@
     }
     let mut findings = validate::validate(&schema, &outline);
     for (name, overlay) in members_of(document.member(SITES)) {
-        if !matches!(overlay.kind, Kind::Object(_)) {
+        if !matches!(overlay.value, TreeValue::Object(_)) {
             let pointer = join_pointer(&join_pointer("", SITES), name);
             let found = render(&overlay.to_value());
             findings.push(Finding::new(pointer, found, "an object"));
@@ -163,9 +163,9 @@
 
 /// The members of an object; empty if `tree` is not an object.
 fn members_of(tree: Option<&Tree>) -> impl Iterator<Item = (&String, &Tree)> {
-    let members = tree.and_then(|tree| match &tree.kind {
-        Kind::Object(members) => Some(&members.present),
-        Kind::Scalar(_) | Kind::List(_) => None,
+    let members = tree.and_then(|tree| match &tree.value {
+        TreeValue::Object(members) => Some(&members.present),
+        TreeValue::Scalar(_) | TreeValue::List(_) => None,
     });
     members.into_iter().flatten()
 }
--- a/src/config/load.rs
+++ b/src/config/load.rs
@@ -15,22 +15,22 @@
 use super::{Rules, SiteSettings, check, check_node, schema, validate};
 
 /// The JSON pointer of the rules in the settings.
-pub(super) const RULES: &str = "/rules";
+pub(super) const RULES_POINTER: &str = "/rules";
 /// The JSON pointer of a node's own settings.
-const NODE: &str = "/node";
+const NODE_POINTER: &str = "/node";
 
 /// Reads `files`, the base first, and merges each as an overlay into those before it.
 ///
 /// # Errors
 ///
-/// Every problem of all files, and no settings. Inconsistencies between values are reported as far
-/// as the values themselves are valid.
+/// Every problem of all files, and no settings. Consistency checks skip values that are invalid in
+/// themselves.
 pub fn load(files: &[PathBuf]) -> Result<Effective, Vec<Problem>> {
     let (tree, problems) = read_all(files)?;
     check_and_deserialize(tree, problems, |_| true)
 }
 
-/// Reads the files of a site without those of a node: members of the node section may be missing.
+/// Reads the files that all nodes of a site share: members of the node section may be missing.
 ///
 /// # Errors
 ///
@@ -44,7 +44,7 @@
 
 /// Whether `pointer` is that of the node section or of a value inside it.
 fn is_node_pointer(pointer: &str) -> bool {
-    let rest = pointer.strip_prefix(NODE);
+    let rest = pointer.strip_prefix(NODE_POINTER);
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
@@ -67,8 +67,8 @@
     Err(problems)
 }
 
-/// Checks merged settings and deserializes them if there are no problems. Only findings for which
-/// `is_relevant` holds count.
+/// Checks merged settings and deserializes them if there are no problems. Findings for which
+/// `is_relevant` returns false are ignored.
 fn check_and_deserialize<S: DeserializeOwned + Serialize>(
     tree: Tree,
     mut problems: Vec<Problem>,
@@ -100,7 +100,7 @@
     check_merged_rules(&tree, problems)
 }
 
-/// Checks merged rules. `problems` holds those found while reading and merging.
+/// Checks merged rules. `problems` holds the problems found while reading and merging.
 pub(super) fn check_merged_rules(
     tree: &Tree,
     mut problems: Vec<Problem>,
@@ -144,7 +144,7 @@
     let mut findings = validate::validate(&schema::settings_schema(), value);
     let rules = PartialRules::read(value.get("rules").unwrap_or(&Value::Null));
     for mut finding in check::check_rules(&rules) {
-        finding.pointer.insert_str(0, RULES);
+        finding.pointer.insert_str(0, RULES_POINTER);
         findings.push(finding);
     }
     findings.extend(check_node::check_node(&PartialNode::read(value), &rules));
@@ -168,12 +168,12 @@
     Problem { file: None, path: pointer, found, accepted }
 }
 
-/// The problem that there are no files, or that they merge to nothing.
+/// The problem of a load without files, or of files that merge to null.
 fn no_settings() -> Problem {
     without_file(Finding::new("", "no settings", "a base file and any overlays"))
 }
 
-/// The problem that deserialization fails although every check passed.
+/// The problem of settings that passed every check but cannot be deserialized.
 fn unexpected_error(tree: &Tree, error: &serde_json::Error) -> Problem {
     Problem {
         file: Some(tree.origin.file.to_path_buf()),
--- a/src/config/lookup.rs
+++ b/src/config/lookup.rs
@@ -47,15 +47,16 @@
         None
     }
 
-    /// The arm of a root request: the same on every node with the same arms, regardless of their
-    /// order, and independent of the root's byte in `Level`.
+    /// The arm of a root request. Nodes with the same arms choose the same one, regardless of the
+    /// order of the arms. The choice is independent of the shedding order
+    /// ([`Level`](crate::call::Level)), which also hashes the root.
     ///
     /// Uses weighted rendezvous hashing, so that a change of shares reassigns no more roots than
     /// necessary.
     ///
     /// # Panics
     ///
-    /// Panics if there are no arms, which `check_rules` refuses.
+    /// Panics if there are no arms, which `check_rules` rejects.
     pub fn arm_for(&self, root: RootId) -> &ArmSettings {
         let mut best = &self.arms[0];
         let mut best_score = f64::NEG_INFINITY;
@@ -89,14 +90,14 @@
     ///
     /// # Panics
     ///
-    /// Panics if there are no arms or the arm's policy is missing, which `check_rules` refuses.
+    /// Panics if there are no arms or the arm's policy is missing, which `check_rules` rejects.
     pub fn policy_of(&self, arm: ArmId) -> &PolicySettings {
         let arm = self.arm(arm).unwrap_or(&self.arms[0]);
         self.policy(&arm.policy).expect("checked rules name only known policies")
     }
 }
 
-/// Whether `path` is `prefix` or continues it by whole segments.
+/// Whether `prefix` is a prefix of `path` by whole segments.
 pub(super) fn has_path_prefix(path: &str, prefix: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else {
         return false;
@@ -125,7 +126,7 @@
     true
 }
 
-/// Whether the percent-encoded bytes of `segment` are well formed and need the encoding.
+/// Whether every percent-encoding in `segment` is well formed and is kept by normalization.
 fn has_canonical_escapes(segment: &str) -> bool {
     for escape in segment.split('%').skip(1) {
         let Some(digits) = escape.get(..2) else {
--- a/src/config/merge.rs
+++ b/src/config/merge.rs
@@ -11,11 +11,11 @@
 use serde_json::Value;
 
 use super::problem::Problem;
-use super::tree::{Kind, Members, Tree, join_pointer};
+use super::tree::{Members, Tree, TreeValue, join_pointer};
 
 /// The member of an overlay's item that removes the inherited item.
 const REMOVE: &str = "remove";
-/// The member that holds the kind of an object.
+/// The member of an object that names its variant, such as the kind of a retry rule.
 const KIND: &str = "kind";
 
 /// A list whose items are merged by key.
@@ -24,21 +24,21 @@
     pointer: &'static str,
     /// The members that make up an item's key, each with its default, if it has one.
     key: &'static [(&'static str, Option<&'static str>)],
-    /// Whether items that an overlay adds go before the inherited ones. This is so where the first
-    /// matching item applies, so that later files take precedence.
-    are_added_first: bool,
+    /// Whether items that an overlay adds go before the inherited ones. True for lists in which the
+    /// first matching item applies, so that later files take precedence.
+    adds_in_front: bool,
 }
 
 /// Every list whose items have a key.
 const KEYED_LISTS: &[KeyedList] = &[
-    KeyedList { pointer: "/rules/classes", key: &[("name", None)], are_added_first: false },
-    KeyedList { pointer: "/rules/services", key: &[("name", None)], are_added_first: false },
-    KeyedList { pointer: "/rules/arms", key: &[("id", None)], are_added_first: false },
-    KeyedList { pointer: "/rules/policies", key: &[("name", None)], are_added_first: false },
+    KeyedList { pointer: "/rules/classes", key: &[("name", None)], adds_in_front: false },
+    KeyedList { pointer: "/rules/services", key: &[("name", None)], adds_in_front: false },
+    KeyedList { pointer: "/rules/arms", key: &[("id", None)], adds_in_front: false },
+    KeyedList { pointer: "/rules/policies", key: &[("name", None)], adds_in_front: false },
     KeyedList {
         pointer: "/rules/routes",
         key: &[("service", None), ("method", Some("")), ("path_prefix", Some("/"))],
-        are_added_first: true,
+        adds_in_front: true,
     },
 ];
 
@@ -55,28 +55,28 @@
     }
     let keyed_list = KEYED_LISTS.iter().find(|list| list.pointer == pointer);
     let inherited = inherited.filter(|inherited| !has_different_kind(inherited, &overlay));
-    match (overlay.kind, keyed_list) {
-        (Kind::Object(members), _) => {
+    match (overlay.value, keyed_list) {
+        (TreeValue::Object(members), _) => {
             let (origin, merged) = match inherited {
-                Some(Tree { origin, kind: Kind::Object(merged) }) => (origin, merged),
+                Some(Tree { origin, value: TreeValue::Object(merged) }) => (origin, merged),
                 _ => (overlay.origin, Members::default()),
             };
             let merged = merge_members(merged, members, pointer, problems);
-            Some(Tree { origin, kind: Kind::Object(merged) })
+            Some(Tree { origin, value: TreeValue::Object(merged) })
         }
-        (Kind::List(items), Some(list)) => {
+        (TreeValue::List(items), Some(list)) => {
             let (origin, merged) = match inherited {
-                Some(Tree { origin, kind: Kind::List(merged) }) => (origin, merged),
+                Some(Tree { origin, value: TreeValue::List(merged) }) => (origin, merged),
                 _ => (overlay.origin, Vec::new()),
             };
             let merged = merge_items(merged, items, list, problems);
-            Some(Tree { origin, kind: Kind::List(merged) })
+            Some(Tree { origin, value: TreeValue::List(merged) })
         }
-        (kind, _) => Some(Tree { origin: overlay.origin, kind }),
+        (value, _) => Some(Tree { origin: overlay.origin, value }),
     }
 }
 
-/// Whether both are objects with a `kind` that differs.
+/// Whether both are objects with a `kind`, and the kinds differ.
 fn has_different_kind(inherited: &Tree, overlay: &Tree) -> bool {
     let kinds = (inherited.member(KIND), overlay.member(KIND));
     let (Some(inherited), Some(overlay)) = kinds else {
@@ -115,12 +115,12 @@
     let mut seen = BTreeSet::new();
     for item in items {
         let Some(key) = key_of(&item, list) else {
-            // The later check against the schema reports an item without a key.
+            // An item without a key is reported by the schema validation after the merge.
             added.push(item);
             continue;
         };
         if !seen.insert(key.clone()) {
-            let found = format!("a second item {}", describe(&key));
+            let found = format!("a second item {}", render_key(&key));
             problems.push(problem(&item, found, "one item per key in a file"));
             continue;
         }
@@ -130,7 +130,7 @@
             continue;
         }
         let inherited = position.map(|position| merged.remove(position));
-        let item_pointer = join_pointer(list.pointer, &describe(&key));
+        let item_pointer = join_pointer(list.pointer, &render_key(&key));
         let Some(item) = merge(inherited, item, &item_pointer, problems) else {
             continue;
         };
@@ -139,7 +139,7 @@
             None => added.push(item),
         }
     }
-    if list.are_added_first {
+    if list.adds_in_front {
         std::mem::swap(&mut merged, &mut added);
     }
     merged.append(&mut added);
@@ -184,7 +184,7 @@
 
 /// Whether `item` has its key, `"remove": true` and nothing else.
 fn is_bare_removal(item: &Tree, list: &KeyedList) -> bool {
-    let Kind::Object(members) = &item.kind else {
+    let TreeValue::Object(members) = &item.value else {
         return false;
     };
     for (name, member) in &members.present {
@@ -198,7 +198,7 @@
 }
 
 /// The key as text.
-fn describe(key: &[String]) -> String {
+fn render_key(key: &[String]) -> String {
     key.join(" ").trim().to_owned()
 }
 
--- a/src/config/partial.rs
+++ b/src/config/partial.rs
@@ -1,7 +1,7 @@
-//! The parts of the settings that can be deserialized.
+//! Partially deserialized settings, which allow consistency checks despite invalid values.
 //!
-//! With these, settings with an invalid value still get the consistency checks: each item that can
-//! be deserialized is checked, and checks that would need the other items are skipped.
+//! Each list item that can be deserialized is checked. Checks that would need the invalid items are
+//! skipped.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/src/config/problem.rs
+++ b/src/config/problem.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// A problem in the merged settings, before its place in a file is looked up.
+/// A problem in the merged settings, before its origin in a file is looked up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Finding {
     /// The JSON pointer of the value within the merged settings.
--- a/src/config/read.rs
+++ b/src/config/read.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 
 use super::problem::Problem;
-use super::tree::{Kind, Members, Origin, Tree};
+use super::tree::{Members, Origin, Tree, TreeValue};
 
 /// Reads the JSON document in `file`. Adds a problem and returns `None` if it cannot be read.
 pub(super) fn read_file(file: &Path, problems: &mut Vec<Problem>) -> Option<Tree> {
@@ -59,7 +59,7 @@
     }
 }
 
-/// Builds the tree of a value with a known origin.
+/// Deserializes a value into a tree whose root has a given origin.
 struct TreeSeed<'a> {
     /// The origin of the value.
     origin: Origin,
@@ -70,7 +70,7 @@
 impl TreeSeed<'_> {
     /// A scalar with this origin.
     fn scalar(self, value: impl Into<Value>) -> Tree {
-        Tree { origin: self.origin, kind: Kind::Scalar(value.into()) }
+        Tree { origin: self.origin, value: TreeValue::Scalar(value.into()) }
     }
 
     /// The seed of the member or item `name`.
@@ -123,7 +123,7 @@
         while let Some(item) = access.next_element_seed(self.child(&items.len().to_string()))? {
             items.push(item);
         }
-        Ok(Tree { origin: self.origin, kind: Kind::List(items) })
+        Ok(Tree { origin: self.origin, value: TreeValue::List(items) })
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut access: A) -> Result<Tree, A::Error> {
@@ -136,6 +136,6 @@
                 self.duplicates.borrow_mut().push(origin);
             }
         }
-        Ok(Tree { origin: self.origin, kind: Kind::Object(Members::new(members)) })
+        Ok(Tree { origin: self.origin, value: TreeValue::Object(Members::new(members)) })
     }
 }
--- a/src/config/site.rs
+++ b/src/config/site.rs
@@ -1,4 +1,4 @@
-//! Settings of a site without a node's own settings.
+//! The settings that all nodes of a site share.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
--- a/src/config/tree.rs
+++ b/src/config/tree.rs
@@ -1,4 +1,4 @@
-//! A JSON document in which every value keeps its origin: a file and a place in it.
+//! A JSON document in which every value keeps its origin: a file and the JSON pointer within it.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -25,15 +25,15 @@
 /// A value with its origin.
 #[derive(Clone, Debug)]
 pub(super) struct Tree {
-    /// Where the value, or the first part of it, was read.
+    /// Where the value was read; for a merged object or list, where its first part was read.
     pub origin: Origin,
     /// The value.
-    pub kind: Kind,
+    pub value: TreeValue,
 }
 
-/// The kinds of JSON values.
+/// A JSON value.
 #[derive(Clone, Debug)]
-pub(super) enum Kind {
+pub(super) enum TreeValue {
     /// Null, a boolean, a number or a string.
     Scalar(Value),
     /// An object.
@@ -47,12 +47,12 @@
 pub(super) struct Members {
     /// The members that are present.
     pub present: BTreeMap<String, Tree>,
-    /// The members that a null removed, each with the origin of the null.
+    /// The members removed by a null in an overlay, each with the origin of the null.
     pub removed: BTreeMap<String, Origin>,
 }
 
 impl Members {
-    /// Members, none of which were removed.
+    /// Creates members of which none have been removed.
     pub fn new(present: BTreeMap<String, Tree>) -> Self {
         Self { present, removed: BTreeMap::new() }
     }
@@ -61,36 +61,36 @@
 impl Tree {
     /// Whether this is null.
     pub fn is_null(&self) -> bool {
-        matches!(self.kind, Kind::Scalar(Value::Null))
+        matches!(self.value, TreeValue::Scalar(Value::Null))
     }
 
     /// The member `name`, if this is an object that has it.
     pub fn member(&self, name: &str) -> Option<&Tree> {
-        match &self.kind {
-            Kind::Object(members) => members.present.get(name),
-            Kind::Scalar(_) | Kind::List(_) => None,
+        match &self.value {
+            TreeValue::Object(members) => members.present.get(name),
+            TreeValue::Scalar(_) | TreeValue::List(_) => None,
         }
     }
 
     /// The value, if this is a scalar.
     pub fn scalar(&self) -> Option<&Value> {
-        match &self.kind {
-            Kind::Scalar(value) => Some(value),
-            Kind::Object(_) | Kind::List(_) => None,
+        match &self.value {
+            TreeValue::Scalar(value) => Some(value),
+            TreeValue::Object(_) | TreeValue::List(_) => None,
         }
     }
 
     /// The plain value, without origins.
     pub fn to_value(&self) -> Value {
-        match &self.kind {
-            Kind::Scalar(value) => value.clone(),
-            Kind::Object(members) => members
+        match &self.value {
+            TreeValue::Scalar(value) => value.clone(),
+            TreeValue::Object(members) => members
                 .present
                 .iter()
                 .map(|(name, member)| (name.clone(), member.to_value()))
                 .collect::<serde_json::Map<_, _>>()
                 .into(),
-            Kind::List(items) => items.iter().map(Tree::to_value).collect(),
+            TreeValue::List(items) => items.iter().map(Tree::to_value).collect(),
         }
     }
 
@@ -103,8 +103,8 @@
         Some(tree)
     }
 
-    /// The origin of the value at `pointer`. If there is no value, the origin of its removal, or
-    /// else the place where it would be in the file of its nearest ancestor.
+    /// The origin of the value at `pointer`. If there is no value, the origin of the null that
+    /// removed it, or else where it would be in the file of its nearest ancestor.
     pub fn origin_of(&self, pointer: &str) -> Origin {
         let mut tree = Some(self);
         let mut origin = self.origin.clone();
@@ -119,18 +119,18 @@
 
     /// The origin of the null that removed the member `name`, if one did.
     fn removal_origin(&self, name: &str) -> Option<&Origin> {
-        match &self.kind {
-            Kind::Object(members) => members.removed.get(name),
-            Kind::Scalar(_) | Kind::List(_) => None,
+        match &self.value {
+            TreeValue::Object(members) => members.removed.get(name),
+            TreeValue::Scalar(_) | TreeValue::List(_) => None,
         }
     }
 
     /// The member or item `name`.
     fn child(&self, name: &str) -> Option<&Tree> {
-        match &self.kind {
-            Kind::Scalar(_) => None,
-            Kind::Object(members) => members.present.get(name),
-            Kind::List(items) => items.get(name.parse::<usize>().ok()?),
+        match &self.value {
+            TreeValue::Scalar(_) => None,
+            TreeValue::Object(members) => members.present.get(name),
+            TreeValue::List(items) => items.get(name.parse::<usize>().ok()?),
         }
     }
 }
