--- a/src/duty/answer.rs
+++ b/src/duty/answer.rs
@@ -11,10 +11,11 @@
 
 use super::problem::Problem;
 
-/// `Retry-After` for requests that were rejected before the node accepted them, in milliseconds.
+/// `Retry-After` for requests that were refused before they reached the node's state machine, in
+/// milliseconds.
 const REFUSED_RETRY_MS: u32 = 1_000;
 
-/// Renders the outcome of a request that the node decided about.
+/// Renders the outcome of a request that the node's state machine handled.
 pub fn respond(request: &Request<'_>, end: CallEnd) -> Response<'static> {
     let mut response = match &end.verdict {
         Verdict::Answered(answer) => forward_answer(answer),
@@ -30,7 +31,7 @@
     response
 }
 
-/// Renders a problem; an empty response with the status where its body cannot be serialized.
+/// Renders a problem. If its body cannot be serialized, the response has only a status.
 pub fn render(request: &Request<'_>, problem: Problem) -> Response<'static> {
     problem.respond_to(request).unwrap_or_else(|status| {
         let mut response = Response::new();
@@ -39,7 +40,7 @@
     })
 }
 
-/// The problem for a request that was rejected before it reached the node's state machine.
+/// The problem for a request that was refused before it reached the node's state machine.
 ///
 /// All reasons but `Malformed` carry a retry interval.
 pub fn refused(reason: RefusalReason) -> Problem {
--- a/src/duty/connection_watch.rs
+++ b/src/duty/connection_watch.rs
@@ -19,7 +19,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a connection may stay idle after its first request.
+/// How long a connection may stay idle after a request has been answered.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// The maximum interval between two scans of the connections.
 const SCAN_INTERVAL_MAX: Duration = Duration::from_secs(1);
@@ -104,11 +104,11 @@
         let Some(remote) = request.remote() else {
             return;
         };
-        let is_new = matches!(state, ConnectionState::Busy(_));
-        let before = self.connections().insert(remote, state);
+        let is_request = matches!(state, ConnectionState::Busy(_));
+        let previous = self.connections().insert(remote, state);
         // A connection has one request at a time, so the previous request belongs to a closed
         // connection whose caller port has been reused.
-        if let (true, Some(ConnectionState::Busy(gone))) = (is_new, before) {
+        if let (true, Some(ConnectionState::Busy(gone))) = (is_request, previous) {
             gone.0.notify_one();
         }
     }
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Scans all connections once and closes those that are overdue.
+    /// Scans all connections once and closes those that have timed out.
     fn scan(&self, listener: SocketAddr, now: Instant) {
         let streams = accepted_streams(listener);
         let present: HashSet<SocketAddr> = streams.iter().map(|(remote, _)| *remote).collect();
@@ -142,7 +142,7 @@
         for (remote, stream) in streams {
             let state = connections.entry(remote).or_insert(ConnectionState::New(now));
             refresh_idle(state, &stream, now);
-            if !self.is_overdue(state, now) {
+            if !self.has_timed_out(state, now) {
                 continue;
             }
             // Counted before the shutdown, so that the count is current when a client sees the close.
@@ -153,7 +153,7 @@
         }
     }
 
-    fn is_overdue(&self, state: &ConnectionState, now: Instant) -> bool {
+    fn has_timed_out(&self, state: &ConnectionState, now: Instant) -> bool {
         match state {
             ConnectionState::Busy(_) => false,
             ConnectionState::New(since) => now.duration_since(*since) > self.shared.read_timeout,
--- a/src/duty/decider.rs
+++ b/src/duty/decider.rs
@@ -24,7 +24,7 @@
 /// New work is refused once the ring is more than `1 / NEW_WORK_RING_DIVISOR` full, which reserves
 /// room for the events that complete calls.
 const NEW_WORK_RING_DIVISOR: usize = 2;
-/// The most queued events handled before the wake-up time is computed again.
+/// The maximum number of queued events handled before the node's next deadline is read again.
 const BATCH_EVENTS_MAX: usize = 64;
 /// The longest wait for an event, so that a paused clock in a test cannot block the thread forever.
 const WAIT_MAX: Duration = Duration::from_secs(1);
@@ -75,11 +75,11 @@
         Self { refused, ..self }
     }
 
-    /// Queues new work unless the ring is too full.
+    /// Queues an entry for new work unless the ring is too full.
     fn try_push(&self, entry: Entry) -> Result<(), RingFull> {
         let capacity = self.ring.capacity().unwrap_or(usize::MAX);
-        let over_limit = self.ring.len() > capacity / NEW_WORK_RING_DIVISOR;
-        if over_limit || self.ring.try_send(entry).is_err() {
+        let is_over_limit = self.ring.len() > capacity / NEW_WORK_RING_DIVISOR;
+        if is_over_limit || self.ring.try_send(entry).is_err() {
             self.refused.increment(1);
             return Err(RingFull);
         }
@@ -98,7 +98,7 @@
         Ok((ticket, end_receiver))
     }
 
-    /// Queues an event for new work, which may be refused.
+    /// Queues an event for new work unless the ring is too full.
     pub fn try_submit_event(&self, event: NodeEvent) -> Result<(), RingFull> {
         self.try_push(Entry::Event(event))
     }
@@ -131,7 +131,7 @@
 #[derive(Debug)]
 pub struct DeciderRing(Receiver<Entry>);
 
-/// Handles of the I/O threads that execute the node's actions.
+/// Handles to the I/O threads that execute the node's actions.
 pub struct IoHandles {
     /// Sends messages to other nodes.
     pub peers: PeerHandle,
@@ -159,7 +159,7 @@
             operators: OperatorResponder::default(),
             next_load_sample_us: 0,
             pending_calls: HashMap::new(),
-            stopping: false,
+            is_stopping: false,
         };
         decider.run(&mut node, &ring.0);
         decider.recorder.finish();
@@ -183,13 +183,13 @@
     /// The reply channels of calls in flight.
     pending_calls: HashMap<Ticket, oneshot::Sender<CallEnd>>,
     /// Whether the node has requested its exit.
-    stopping: bool,
+    is_stopping: bool,
 }
 
 impl Decider {
     /// Handles events until the node requests its exit.
     fn run(&mut self, node: &mut Node, ring: &Receiver<Entry>) {
-        while !self.stopping {
+        while !self.is_stopping {
             let wait = self.time_until_wake(node);
             match ring.recv_timeout(wait) {
                 Ok(entry) => self.handle_entry(node, entry),
@@ -279,7 +279,7 @@
                 self.operators.complete_submission(submission, outcome);
             }
             NodeAction::Note(note) => self.note_sink.record(note),
-            NodeAction::Exit => self.stopping = true,
+            NodeAction::Exit => self.is_stopping = true,
         }
     }
 
--- a/src/duty/http.rs
+++ b/src/duty/http.rs
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Serves one request; rejected requests are returned as a problem.
+    /// Serves one request; a refused request is returned as a problem.
     async fn serve(&self, request: &Request<'_>, data: Data<'_>) -> Result<Served, Problem> {
         let path = request.uri().path().as_str();
         let body = web::read_body(data, self.body_max_bytes, self.request_read_ms).await?;
@@ -198,9 +198,9 @@
     async fn submit_and_wait(
         &self,
         request: &Request<'_>,
-        make: impl FnOnce(Ticket) -> NodeEvent,
+        make_event: impl FnOnce(Ticket) -> NodeEvent,
     ) -> Result<Served, Problem> {
-        let Ok((ticket, mut end)) = self.decider.submit_call(make) else {
+        let Ok((ticket, mut end)) = self.decider.submit_call(make_event) else {
             return Err(answer::refused(RefusalReason::NodeFull));
         };
         let gone = CallerGone::of(request);
@@ -212,7 +212,8 @@
                 end.await
             }
         };
-        // The decider exits only when no call is in flight, so a dropped ticket was never started.
+        // The decider exits only when no call is in flight, so a call whose reply channel was dropped
+        // was never started.
         ended.map(Served::End).map_err(|_| answer::refused(RefusalReason::Leaving))
     }
 }
@@ -221,7 +222,7 @@
 enum Served {
     /// The call has ended.
     End(CallEnd),
-    /// The node accepted it; there is nothing to return.
+    /// The node accepted the event; the response is empty.
     Accepted,
 }
 
@@ -242,7 +243,7 @@
     key: Option<String>,
     /// The caller's trace context.
     trace: Option<TraceContext>,
-    /// Names the call that the target is serving while it makes this one.
+    /// Identifies the call that the target is serving while it makes this one.
     token: Option<String>,
 }
 
--- a/src/duty/launch.rs
+++ b/src/duty/launch.rs
@@ -31,11 +31,11 @@
 use super::target;
 use super::web::{WebOptions, WebServer};
 
-/// How long to wait at exit for peers to confirm the last replies.
+/// How long to wait at exit for peers to acknowledge the last replies.
 const REPLY_DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 /// The retry interval given to a peer when the event ring is full, in milliseconds.
 const RING_FULL_RETRY_MS: u32 = 200;
-/// How often the launching thread checks whether the decider has ended or replies are confirmed.
+/// How often the launching thread checks whether the decider has ended or replies are acknowledged.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Aborts the process when any thread panics. A node without one of its threads must not appear
@@ -48,7 +48,7 @@
     }));
 }
 
-/// Runs a node until it has left the site. Records its input events to the new file `record`, if given.
+/// Runs a node until it has left the site. Records its input events in a new file at `record`, if given.
 ///
 /// # Errors
 ///
@@ -61,10 +61,11 @@
     let events = EventLog::new(logging.logger.clone(), clock);
     let metrics = Metrics::new()?;
     let (decider, ring) = DeciderHandle::ring(settings.node.ring_entries);
-    let observed = decider.clone();
+    let observed_ring = decider.clone();
     let entries = settings.node.ring_entries;
-    let decider = decider
-        .with_refused_counter(metrics.watch_ring("decider", entries, move || observed.queue_len()));
+    let decider = decider.with_refused_counter(
+        metrics.watch_ring("decider", entries, move || observed_ring.queue_len()),
+    );
     let id = NodeId(rand::rng().random());
     let peers = start_peers(&settings.node, id, clock, &decider)?;
     let traces = start_tracing(&settings, &metrics, &events)?;
@@ -74,8 +75,8 @@
     let identity = identity(id, clock, &peers);
     let started_us = clock.now_us();
     let (recorder, recording) = start_recording(record, &settings, &identity, started_us)?;
-    let build = crate::configuration::site_rules(&settings.site);
-    let node = Node::new(started_us, identity, settings.clone(), build);
+    let build_rules = crate::configuration::site_rules(&settings.site);
+    let node = Node::new(started_us, identity, settings.clone(), build_rules);
     let io = start_io_threads(&settings, clock, &decider, &peers)?;
     let thread = decider::start(node, clock, ring, io, note_sink, recorder)?;
     let mut servers = start_listeners(&settings.node, &decider)?;
@@ -104,18 +105,18 @@
 
 /// Starts the connections to other nodes.
 fn start_peers(
-    own: &NodeSettings,
+    node_settings: &NodeSettings,
     id: NodeId,
     clock: Clock,
     decider: &DeciderHandle,
 ) -> eyre::Result<PeerTransport> {
     let options = PeerOptions::builder()
-        .listen(own.peer_listen)
+        .listen(node_settings.peer_listen)
         .node(id)
-        .body_max_bytes(own.body_max_bytes)
+        .body_max_bytes(node_settings.body_max_bytes)
         .build();
     let decider = decider.clone();
-    // The handle for replies exists only once the transport has started.
+    // The sink needs the handle for replies, which exists only once the transport has started.
     let handle: Arc<OnceLock<PeerHandle>> = Arc::default();
     let reply_handle = handle.clone();
     let sink = move |event| forward_peer_event(id, &decider, reply_handle.get(), event);
@@ -124,9 +125,9 @@
     Ok(peers)
 }
 
-/// Rejects an attempt because the decider's ring is full. The attempt has not run and never will: its
+/// Refuses an attempt because the decider's ring is full. The attempt has not run and never will: its
 /// frame is dropped, and a later query about it finds no record and fences it.
-fn reject_ring_full(id: NodeId, peers: Option<&PeerHandle>, path: ReturnPath, attempt: AttemptId) {
+fn refuse_ring_full(id: NodeId, peers: Option<&PeerHandle>, path: ReturnPath, attempt: AttemptId) {
     let Some(peers) = peers else { return };
     let verdict = Verdict::not_run(RefusalReason::NodeFull, RING_FULL_RETRY_MS);
     let answer = AnswerFrame { attempt, node: id, verdict, load: LoadReport::default() };
@@ -149,7 +150,7 @@
             };
             let queued = decider.try_submit_event(NodeEvent::PeerRequest { path, message });
             if let (Err(_), Some(attempt)) = (queued, attempt) {
-                reject_ring_full(id, peers, path, attempt);
+                refuse_ring_full(id, peers, path, attempt);
             }
         }
         PeerEvent::Reply { peer, message } => {
@@ -192,8 +193,8 @@
         identity: identity.clone(),
         settings: settings.clone(),
     };
-    let (recorder, duty) = recorder::start(path, &header)?;
-    Ok((recorder, Some(duty)))
+    let (recorder, thread) = recorder::start(path, &header)?;
+    Ok((recorder, Some(thread)))
 }
 
 /// Starts the I/O threads that execute the node's actions.
@@ -209,7 +210,7 @@
     Ok(IoHandles { peers: peers.handle(), target, store })
 }
 
-/// Starts the thread that talks to the platform's table service.
+/// Starts the thread that sends requests to the platform's table service.
 fn start_store(settings: &Settings, decider: &DeciderHandle) -> eyre::Result<StoreHandle> {
     let options = StoreOptions::builder()
         .table_url(settings.platform.table_url.clone())
@@ -224,26 +225,29 @@
 }
 
 /// Starts the listeners for external callers and for the target.
-fn start_listeners(own: &NodeSettings, decider: &DeciderHandle) -> eyre::Result<Vec<WebServer>> {
-    let body_budget = BodyBudget::new(own.bodies_max_bytes);
+fn start_listeners(
+    node_settings: &NodeSettings,
+    decider: &DeciderHandle,
+) -> eyre::Result<Vec<WebServer>> {
+    let body_budget = BodyBudget::new(node_settings.bodies_max_bytes);
     let listeners = [
-        (ClientKind::Target, "target-http", own.target_listen),
-        (ClientKind::Caller, "http", own.caller_listen),
+        (ClientKind::Target, "target-http", node_settings.target_listen),
+        (ClientKind::Caller, "http", node_settings.caller_listen),
     ];
     let mut servers = Vec::new();
     for (client, name, address) in listeners {
         let options = WebOptions::builder()
             .name(name)
             .address(address)
-            .workers(own.http_workers)
-            .body_max_bytes(own.body_max_bytes)
-            .read_timeout_ms(own.request_read_ms)
+            .workers(node_settings.http_workers)
+            .body_max_bytes(node_settings.body_max_bytes)
+            .read_timeout_ms(node_settings.request_read_ms)
             .build();
         let handler = ProxyHandler {
             client,
             decider: decider.clone(),
-            body_max_bytes: own.body_max_bytes,
-            request_read_ms: own.request_read_ms,
+            body_max_bytes: node_settings.body_max_bytes,
+            request_read_ms: node_settings.request_read_ms,
             body_budget: body_budget.clone(),
         };
         // Answers are the targets' own, so Rocket must not add its security headers.
@@ -270,7 +274,7 @@
     Ok(Some(TraceDuty::start(&options, metrics, events.clone())?))
 }
 
-/// Waits until peers have confirmed the last replies, up to a time limit.
+/// Waits until peers have acknowledged the last replies, up to a time limit.
 fn drain_replies(peers: &PeerTransport) {
     let until = Instant::now() + REPLY_DRAIN_TIMEOUT;
     while peers.unacknowledged_replies() > 0 && Instant::now() < until {
@@ -280,16 +284,16 @@
 
 /// Starts the listener for operators.
 fn start_operator(
-    own: &NodeSettings,
+    node_settings: &NodeSettings,
     decider: &DeciderHandle,
     metrics: Metrics,
     events: EventLog,
 ) -> eyre::Result<WebServer> {
     let decider = decider.clone();
     let options = OperatorOptions::builder()
-        .address(own.operator_listen)
-        .maybe_key(OperatorKey::from_env(&own.operator_key_env))
-        .key_variable(own.operator_key_env.clone())
+        .address(node_settings.operator_listen)
+        .maybe_key(OperatorKey::from_env(&node_settings.operator_key_env))
+        .key_variable(node_settings.operator_key_env.clone())
         .requests(Arc::new(move |request| decider.try_submit_operator(request)))
         .metrics(metrics)
         .events(events)
--- a/src/duty/note.rs
+++ b/src/duty/note.rs
@@ -1,4 +1,4 @@
-//! Routes the node's notes to the log, the metrics and the trace exporter.
+//! Writes the node's notes (log events, metrics and spans) to the log, the metrics and the trace exporter.
 
 use crate::call::{ArmId, LoadReport};
 use crate::event::EventLog;
@@ -6,7 +6,7 @@
 use crate::telemetry::metrics::{CallMetrics, LabelNames};
 use crate::telemetry::trace::SpanSink;
 
-/// Receives the notes of one node.
+/// The destinations of one node's notes.
 #[derive(Debug)]
 pub struct NoteSink {
     /// The event log.
--- a/src/duty/operator.rs
+++ b/src/duty/operator.rs
@@ -42,9 +42,9 @@
     /// The environment variable that should hold the key; used only for logging.
     #[builder(into)]
     pub key_variable: String,
-    /// Sends to the thread that owns the node's state.
+    /// Sends requests to the thread that owns the node's state.
     pub requests: TrySendRequest,
-    /// The node's metrics.
+    /// The metrics served by `GET /metrics`.
     pub metrics: Metrics,
     /// The node's event log.
     pub events: EventLog,
@@ -108,16 +108,16 @@
     metrics: Metrics,
     events: EventLog,
     /// The cached health reply; it limits the load from unauthenticated requests.
-    health: tokio::sync::Mutex<Option<(tokio::time::Instant, Result<Health, AskError>)>>,
+    health: tokio::sync::Mutex<Option<(tokio::time::Instant, Result<Health, RequestError>)>>,
     body_max_bytes: usize,
     read_timeout_ms: u64,
     reply_timeout_ms: u64,
     submit_timeout_ms: u64,
 }
 
-/// Why a request got no reply from the node.
+/// Why the node did not reply to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum AskError {
+enum RequestError {
     /// The ring buffer was full or closed; the request was not queued.
     RingFull,
     /// The request was queued, but no reply came.
@@ -126,26 +126,26 @@
 
 impl OperatorState {
     /// Sends a request to the node and waits for its reply.
-    async fn ask<T>(
+    async fn send_request<T>(
         &self,
         timeout_ms: u64,
         make_request: impl FnOnce(oneshot::Sender<T>) -> OperatorRequest,
-    ) -> Result<T, AskError> {
+    ) -> Result<T, RequestError> {
         let (reply, receiver) = oneshot::channel();
-        (self.requests)(make_request(reply)).map_err(|_| AskError::RingFull)?;
+        (self.requests)(make_request(reply)).map_err(|_| RequestError::RingFull)?;
         let waiting = tokio::time::timeout(Duration::from_millis(timeout_ms), receiver);
         let Ok(Ok(reply)) = waiting.await else {
-            return Err(AskError::NoReply);
+            return Err(RequestError::NoReply);
         };
         Ok(reply)
     }
 }
 
-impl From<AskError> for Problem {
-    fn from(error: AskError) -> Self {
+impl From<RequestError> for Problem {
+    fn from(error: RequestError) -> Self {
         let detail = match error {
-            AskError::RingFull => "the node's ring is full",
-            AskError::NoReply => "the node did not reply in time",
+            RequestError::RingFull => "the node's ring is full",
+            RequestError::NoReply => "the node did not reply in time",
         };
         Problem::new(503, "Node is busy").detail(detail).retry_after_ms(1_000)
     }
--- a/src/duty/operator/request.rs
+++ b/src/duty/operator/request.rs
@@ -41,7 +41,7 @@
 /// Whether the node serves requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Health {
-    /// Whether it accepts calls: it has a configuration and a target.
+    /// Whether it accepts calls, which requires a configuration and a target.
     pub ready: bool,
     /// Whether it is shutting down and accepts no new work.
     pub leaving: bool,
@@ -52,7 +52,7 @@
 pub struct ConfigView {
     /// Its version; 0 for the settings the node was started with.
     pub version: u64,
-    /// Who submitted it; `None` if nobody did.
+    /// Who submitted it; `None` for the settings the node was started with.
     pub by: Option<String>,
     /// When it was accepted, in milliseconds since the Unix epoch.
     pub at_unix_ms: Option<u64>,
@@ -114,7 +114,7 @@
     },
 }
 
-/// The graceful shutdown has started, now or earlier.
+/// The reply to [`OperatorRequest::Leave`]: the graceful shutdown has started, now or earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct LeaveReply {
     /// Calls currently running or queued.
--- a/src/duty/operator/routes.rs
+++ b/src/duty/operator/routes.rs
@@ -10,14 +10,14 @@
 
 use super::key::Operator;
 use super::reply::{self, Document};
-use super::{AskError, OperatorRequest, OperatorState, Submission};
+use super::{OperatorRequest, OperatorState, RequestError, Submission};
 use crate::duty::web::{Problem, read_body};
 
 /// How long a health reply is cached.
 const HEALTH_CACHE_TTL: Duration = Duration::from_secs(1);
 /// The header that names the submitter of a configuration.
 const SUBMITTER_HEADER: &str = "aspenspring-by";
-/// The longest submitter name, in characters; longer ones are cut off.
+/// The longest submitter name, in characters; longer names are truncated.
 const SUBMITTER_MAX_CHARS: usize = 64;
 /// The content type of the Prometheus text format.
 const METRICS_CONTENT_TYPE: (&str, &str) = ("text", "plain");
@@ -51,12 +51,16 @@
 #[get("/health")]
 async fn health(state: &State<OperatorState>) -> Result<Document, Problem> {
     let mut cached = state.health.lock().await;
-    let fresh = cached.filter(|(at, _)| at.elapsed() < HEALTH_CACHE_TTL);
-    let reply = match fresh {
+    let fresh_reply = cached.filter(|(at, _)| at.elapsed() < HEALTH_CACHE_TTL);
+    let reply = match fresh_reply {
         Some((_, reply)) => reply,
-        None => state.ask(state.reply_timeout_ms, |reply| OperatorRequest::Health { reply }).await,
+        None => {
+            state
+                .send_request(state.reply_timeout_ms, |reply| OperatorRequest::Health { reply })
+                .await
+        }
     };
-    if fresh.is_none() {
+    if fresh_reply.is_none() {
         *cached = Some((Instant::now(), reply));
     }
     Document::new(&reply?)
@@ -71,7 +75,8 @@
 
 #[get("/status")]
 async fn status(_operator: Operator, state: &State<OperatorState>) -> Result<Document, Problem> {
-    let reply = state.ask(state.reply_timeout_ms, |reply| OperatorRequest::Status { reply }).await;
+    let reply =
+        state.send_request(state.reply_timeout_ms, |reply| OperatorRequest::Status { reply }).await;
     Document::new(&reply?)
 }
 
@@ -92,7 +97,7 @@
 /// The accepted configuration of `version`, or the one in force.
 async fn show_config(state: &OperatorState, version: Option<u64>) -> Result<Document, Problem> {
     let make_request = |reply| OperatorRequest::Config { version, reply };
-    let Some(config) = state.ask(state.reply_timeout_ms, make_request).await? else {
+    let Some(config) = state.send_request(state.reply_timeout_ms, make_request).await? else {
         return Err(Problem::new(404, "Configuration is not known")
             .detail("the node holds the one in force and the list of the ones before it"));
     };
@@ -115,10 +120,10 @@
     let document = parse_document(&body)?;
     let submission = Submission { expected_version, by: headers.by, document };
     let make_request = |reply| OperatorRequest::Submit { submission, reply };
-    match state.ask(state.submit_timeout_ms, make_request).await {
+    match state.send_request(state.submit_timeout_ms, make_request).await {
         Ok(outcome) => reply::submit_response(outcome),
-        Err(AskError::RingFull) => Err(reply::not_accepted("the node's ring is full")),
-        Err(AskError::NoReply) => Err(reply::unknown("the node did not reply in time")),
+        Err(RequestError::RingFull) => Err(reply::not_accepted("the node's ring is full")),
+        Err(RequestError::NoReply) => Err(reply::unknown("the node did not reply in time")),
     }
 }
 
@@ -139,6 +144,7 @@
 
 #[post("/leave")]
 async fn leave(_operator: Operator, state: &State<OperatorState>) -> Result<Document, Problem> {
-    let reply = state.ask(state.reply_timeout_ms, |reply| OperatorRequest::Leave { reply }).await;
+    let reply =
+        state.send_request(state.reply_timeout_ms, |reply| OperatorRequest::Leave { reply }).await;
     Document::new(&reply?)
 }
--- a/src/duty/operator_responder.rs
+++ b/src/duty/operator_responder.rs
@@ -20,7 +20,7 @@
 }
 
 impl OperatorResponder {
-    /// Answers a request, and returns the event that it causes, if any.
+    /// Handles a request and returns the event that the node must handle for it, if any.
     ///
     /// Answers to operators that have disconnected are dropped.
     pub fn handle(
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Sends the outcome of a submission to the operator that waits for it.
+    /// Sends the outcome of a submission to the operator that submitted it.
     pub fn complete_submission(&mut self, submission: u64, outcome: SubmitOutcome) {
         let Some(reply) = self.pending_submissions.remove(&submission) else { return };
         // The operator may have disconnected; the outcome is stored in the table regardless.
@@ -64,7 +64,7 @@
     }
 }
 
-/// Converts an operator's submission to the form of the configuration module.
+/// Converts an operator's submission to the event of the configuration module.
 fn make_submit(at_unix_ms: u64, submission: Submission) -> Submit {
     Submit {
         submission: rand::rng().random(),
--- a/src/duty/peer.rs
+++ b/src/duty/peer.rs
@@ -90,11 +90,11 @@
         self.stop_once();
     }
 
-    /// Stops once; later calls do nothing.
+    /// Stops the transport; later calls do nothing.
     fn stop_once(&mut self) {
         let Some(upkeep) = self.upkeep.take() else { return };
         self.shared.request_stop();
-        // An error here only means that the thread panicked, which was logged then.
+        // Fails only if the thread panicked, which was reported at the time of the panic.
         let _ = upkeep.join();
         self.shared.inbound.close();
     }
--- a/src/duty/peer/dial.rs
+++ b/src/duty/peer/dial.rs
@@ -14,12 +14,12 @@
 use super::options::PeerOptions;
 use super::shared::{Shared, lock};
 
-/// nng waits a random part of this time before it reconnects a socket by itself: long enough that
-/// the socket is closed first.
+/// nng reconnects a socket after a random part of this time. It is long enough that the socket has
+/// been closed by then.
 const RECONNECT_WAIT: Duration = Duration::from_secs(86_400);
 /// Received frames that nng may buffer while the sink is busy.
 const RECEIVE_BUFFER_ENTRIES: i32 = 64;
-/// Bytes that nng counts as part of a message besides the encoded one: header words and the kind.
+/// Bytes that nng counts in addition to the encoded message: header words and the content kind.
 const ENVELOPE_MAX_BYTES: usize = 64;
 
 /// A socket that keeps receiving until it is closed.
@@ -35,8 +35,9 @@
 impl OpenSocket {
     /// Stops receiving, waits until the callback has returned, and closes the socket.
     ///
-    /// nng frees the queue of a closed socket even if a receive operation was started just then,
-    /// and aborts the process when that operation ends. So none may be pending at the close.
+    /// nng frees the queue of a closed socket even if a receive operation has just been started,
+    /// and aborts the process when that operation ends. No operation may therefore be pending at
+    /// the close.
     pub(super) fn close(&self) {
         *lock(&self.is_closing) = true;
         self.receiving.cancel();
--- a/src/duty/peer/event.rs
+++ b/src/duty/peer/event.rs
@@ -47,7 +47,7 @@
         message: Message,
     },
     /// A message accepted by [`PeerHandle::send`](super::PeerHandle::send) was not sent, as no
-    /// connection could be made. It certainly did not run.
+    /// connection could be made. It has not run and will not.
     Unsent {
         /// The address of the peer.
         peer: SocketAddr,
--- a/src/duty/peer/inbound.rs
+++ b/src/duty/peer/inbound.rs
@@ -32,7 +32,7 @@
 /// The state of all inbound connections.
 #[derive(Default)]
 struct ConnectionTable {
-    /// Open connections, with nng's ID once something was received.
+    /// Open connections, each with nng's ID once something has been received.
     open: HashMap<Pipe, Option<u32>>,
     /// Connections on which something was received, by nng's ID.
     connections: HashMap<u32, Connection>,
@@ -46,7 +46,7 @@
     window: ReplyWindow,
     /// Replies queued until the window has room.
     pending: VecDeque<Frame>,
-    /// When something was last received.
+    /// When something was last received, in microseconds.
     received_at_us: u64,
     /// Whether this node is closing it.
     is_closing: bool,
@@ -111,7 +111,7 @@
     let message = Message::Pong { from: shared.options.node, sequence, load };
     let Ok(mut frame) = shared.wrap(&message) else { return };
     envelope::set_reply_header(&mut frame, return_path.pipe, return_path.request);
-    // A pong that does not fit is dropped; the replies that fill the queue show liveness as well.
+    // A pong that does not fit is dropped; the replies that fill the queue prove liveness as well.
     let _ = shared.inbound.socket.try_send(frame);
 }
 
@@ -175,8 +175,8 @@
     /// closing.
     fn record_received(&self, pipe_id: u32, pipe: Pipe, now_us: u64) -> bool {
         let mut table = lock(&self.table);
-        let Some(known) = table.open.get_mut(&pipe) else { return false };
-        *known = Some(pipe_id);
+        let Some(known_id) = table.open.get_mut(&pipe) else { return false };
+        *known_id = Some(pipe_id);
         let connection = table.connections.entry(pipe_id).or_insert_with(|| Connection::new(pipe));
         connection.received_at_us = now_us;
         !connection.is_closing
--- a/src/duty/peer/link.rs
+++ b/src/duty/peer/link.rs
@@ -32,7 +32,7 @@
 struct LinkState {
     /// The phase of the connection.
     phase: Phase,
-    /// Number of sockets this link has had; events of earlier sockets are ignored.
+    /// Incremented for each new socket; events of earlier sockets are ignored.
     generation: u64,
     /// Whether the connection of the current socket has opened.
     is_opened: bool,
@@ -82,7 +82,7 @@
     is_link_up_reported: bool,
 }
 
-/// What the upkeep thread has to do for a link after releasing its lock.
+/// Actions for the upkeep thread to perform on a link after releasing its lock.
 #[derive(Default)]
 pub(super) struct LinkActions {
     /// Dial with a new socket of this generation.
@@ -205,13 +205,13 @@
         }
     }
 
-    /// Advances the state to `now_us`. Returns what has to be done without the lock.
+    /// Advances the state to `now_us`. Returns the actions to perform without the lock.
     pub(super) fn step(&self, shared: &Shared, now_us: u64) -> LinkActions {
         let mut state = lock(&self.state);
         state.step(self.peer, shared, now_us)
     }
 
-    /// Closes the connection permanently.
+    /// Closes the connection permanently. Returns the actions to perform without the lock.
     pub(super) fn retire(&self) -> LinkActions {
         let mut state = lock(&self.state);
         state.generation += 1;
@@ -233,8 +233,8 @@
             }
             Phase::Dialing { started_at_us, .. } => {
                 let connect_timeout_us = shared.options.connect_within_ms * US_PER_MS;
-                let is_late = now_us.saturating_sub(*started_at_us) >= connect_timeout_us;
-                if self.is_broken || is_late {
+                let is_timed_out = now_us.saturating_sub(*started_at_us) >= connect_timeout_us;
+                if self.is_broken || is_timed_out {
                     return self.drop_connection(peer, now_us);
                 }
                 LinkActions::default()
@@ -378,7 +378,8 @@
             LivenessAction::Silent => return None,
             LivenessAction::Ping(sequence) => {
                 let message = Message::Ping { from: shared.options.node, sequence };
-                // A ping that does not fit counts as sent: a queue that stays full is silence too.
+                // A ping that does not fit counts as sent: a queue that stays full means silence
+                // too.
                 let _ = self.wrap_and_send(shared, &message, request);
             }
             LivenessAction::Wait => (),
@@ -397,7 +398,7 @@
 
 /// How long the answer to a message may take; `None` if there is no answer.
 fn answer_timeout_us(message: &Message) -> Option<u64> {
-    /// How long an entry node may take to grant or refuse a retry, which it does from memory.
+    /// How long an entry node may take to grant or refuse a retry; it decides without I/O.
     const RETRY_GRANT_TIMEOUT_US: u64 = 1_000_000;
     match message {
         Message::Call(call) => Some(call.remaining_us),
@@ -422,7 +423,7 @@
     }
 }
 
-/// Performs the actions returned by [`Link::step`], holding no lock.
+/// Performs the actions returned by [`Link::step`] or [`Link::retire`], holding no lock.
 pub(super) fn perform(shared: &Arc<Shared>, link: &Arc<Link>, actions: LinkActions) {
     if let Some(open) = actions.close {
         open.close();
--- a/src/duty/peer/liveness.rs
+++ b/src/duty/peer/liveness.rs
@@ -1,4 +1,4 @@
-//! Detects connections that have gone silent. Pure: the time is passed in, no clock is read.
+//! Detects connections that have gone silent. Reads no clock; the time is passed in.
 
 use crate::clock::US_PER_MS;
 
@@ -7,7 +7,7 @@
 pub struct LivenessSettings {
     /// A ping is sent after this long without receiving anything while answers are expected.
     pub ping_every_us: u64,
-    /// The same while no answer is expected.
+    /// The same interval while no answer is expected.
     pub idle_ping_every_us: u64,
     /// The connection is silent if nothing is received for this long while a ping is unanswered.
     pub silent_after_us: u64,
@@ -24,7 +24,7 @@
     }
 }
 
-/// What to do for a connection.
+/// The action that a connection requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LivenessAction {
     /// Nothing.
@@ -61,9 +61,9 @@
     pinged_at_us: Option<u64>,
     /// The sequence number of the latest ping.
     sequence: u64,
-    /// Messages sent that have not been answered.
-    expected: u64,
-    /// The latest deadline of the expected answers; after it none counts as expected.
+    /// The number of sent messages whose answers are expected.
+    expected_answers: u64,
+    /// The latest deadline of the expected answers, after which none is expected.
     expected_until_us: u64,
     /// When `step` was last called.
     stepped_at_us: u64,
@@ -77,7 +77,7 @@
             received_at_us: now_us,
             pinged_at_us: None,
             sequence: 0,
-            expected: 0,
+            expected_answers: 0,
             expected_until_us: 0,
             stepped_at_us: now_us,
         }
@@ -86,10 +86,10 @@
     /// Records that a message was sent whose answer is due within `answer_timeout_us`.
     pub fn expect_answer(&mut self, now_us: u64, answer_timeout_us: u64) {
         if !self.is_expecting(now_us) {
-            self.expected = 0;
+            self.expected_answers = 0;
             self.expected_until_us = 0;
         }
-        self.expected += 1;
+        self.expected_answers += 1;
         let until_us = now_us.saturating_add(answer_timeout_us);
         self.expected_until_us = self.expected_until_us.max(until_us);
     }
@@ -99,18 +99,18 @@
         self.received_at_us = self.received_at_us.max(now_us);
         match kind {
             ReceivedKind::Pong => self.pinged_at_us = None,
-            ReceivedKind::Answer => self.expected = self.expected.saturating_sub(1),
+            ReceivedKind::Answer => self.expected_answers = self.expected_answers.saturating_sub(1),
             ReceivedKind::Other => (),
         }
     }
 
     /// Whether an answer is still expected.
     pub fn is_expecting(&self, now_us: u64) -> bool {
-        self.expected > 0 && now_us < self.expected_until_us
+        self.expected_answers > 0 && now_us < self.expected_until_us
     }
 
-    /// Returns what to do at `now_us`. A returned ping counts as sent even if the send queue is
-    /// full: a connection that accepts nothing is silent as well.
+    /// Returns the action required at `now_us`. A returned ping counts as sent even if the send
+    /// queue is full: a connection that accepts nothing is silent as well.
     pub fn step(&mut self, now_us: u64) -> LivenessAction {
         let step_gap_us = now_us.saturating_sub(self.stepped_at_us);
         self.stepped_at_us = now_us;
@@ -133,8 +133,8 @@
         if now_us.saturating_sub(waiting_since_us) < self.settings.silent_after_us {
             return LivenessAction::Wait;
         }
-        // If this process itself was paused, the answer may be unread in the kernel's buffer: the
-        // peer gets one more interval.
+        // If this process itself was paused, the answer may be unread in the kernel's buffer, so
+        // the peer is given one more interval.
         if step_gap_us >= self.settings.silent_after_us {
             self.pinged_at_us = Some(now_us);
             return LivenessAction::Wait;
--- a/src/duty/peer/options.rs
+++ b/src/duty/peer/options.rs
@@ -14,7 +14,7 @@
 const RING_MAX_ENTRIES: usize = 8_192;
 /// The longest time that can be set, in milliseconds: one day.
 const TIME_MAX_MS: u64 = 86_400_000;
-/// Bytes allowed in a message besides its body if `message_max_bytes` is not set.
+/// Bytes allowed in a message in addition to its body if `message_max_bytes` is not set.
 const HEAD_MAX_BYTES: usize = 256 << 10;
 
 /// Options of the transport.
@@ -33,7 +33,7 @@
     /// A ping is sent after this long without receiving anything while answers are expected.
     #[builder(default = 200)]
     pub ping_every_ms: u64,
-    /// The same while no answer is expected.
+    /// The same interval while no answer is expected.
     #[builder(default = 5_000)]
     pub idle_ping_every_ms: u64,
     /// The connection is silent if nothing is received for this long while a ping is unanswered.
@@ -88,14 +88,14 @@
 
     /// How often the connections are checked, in microseconds.
     pub(super) fn tick_us(&self) -> u64 {
-        /// Ticks in the shortest configured time.
-        const TICKS_IN_INTERVAL: u64 = 4;
+        /// Ticks within the shortest configured interval.
+        const TICKS_PER_INTERVAL: u64 = 4;
         let shortest_ms = self
             .ping_every_ms
             .min(self.silent_after_ms)
             .min(self.connect_within_ms)
             .min(self.redial_after_ms);
-        (shortest_ms * US_PER_MS / TICKS_IN_INTERVAL).max(US_PER_MS)
+        (shortest_ms * US_PER_MS / TICKS_PER_INTERVAL).max(US_PER_MS)
     }
 }
 
--- a/src/duty/peer/redial.rs
+++ b/src/duty/peer/redial.rs
@@ -1,4 +1,4 @@
-//! Backoff between attempts to connect. Pure: it reads no clock.
+//! Backoff between attempts to connect. Does no I/O and reads no clock.
 
 use crate::call::NodeId;
 use crate::clock::US_PER_MS;
--- a/src/duty/peer/shared.rs
+++ b/src/duty/peer/shared.rs
@@ -35,7 +35,7 @@
     removed: Mutex<Vec<Arc<Link>>>,
     /// Wakes the upkeep thread; holds at most one signal.
     wake: Sender<()>,
-    /// Whether the transport was told to stop.
+    /// Whether a stop of the transport was requested.
     stop_requested: AtomicBool,
     /// Receives every event. No lock may be held while it is called.
     sink: EventSink,
@@ -76,18 +76,18 @@
         let _ = self.wake.try_send(());
     }
 
-    /// Tells the upkeep thread to close everything and exit.
+    /// Requests the upkeep thread to close all connections and exit.
     pub(super) fn request_stop(&self) {
         self.stop_requested.store(true, Ordering::SeqCst);
         self.wake();
     }
 
-    /// Whether the transport was told to stop.
+    /// Whether a stop of the transport was requested.
     pub(super) fn is_stop_requested(&self) -> bool {
         self.stop_requested.load(Ordering::SeqCst)
     }
 
-    /// Returns an error once the transport was told to stop.
+    /// Returns an error once a stop of the transport was requested.
     pub(super) fn ensure_running(&self) -> Result<(), SendError> {
         if self.is_stop_requested() {
             return Err(SendError::Stopped);
--- a/src/duty/peer/upkeep.rs
+++ b/src/duty/peer/upkeep.rs
@@ -1,4 +1,5 @@
-//! The thread that monitors the connections.
+//! The upkeep thread: monitors all connections, reconnects outbound ones and closes idle inbound
+//! ones.
 
 use std::sync::Arc;
 use std::thread::{Builder, JoinHandle};
@@ -18,11 +19,11 @@
     Builder::new().name("peer-upkeep".to_owned()).spawn(move || run(&shared, &wake_receiver))
 }
 
-/// Runs until the transport is told to stop.
+/// Runs until a stop is requested, then closes all outbound connections.
 fn run(shared: &Arc<Shared>, wake_receiver: &Receiver<()>) {
     let tick = Duration::from_micros(shared.options.tick_us());
     while !shared.is_stop_requested() {
-        // A wake-up and a timeout are treated alike.
+        // A wake-up and a timeout are handled in the same way.
         let _ = wake_receiver.recv_timeout(tick);
         check_connections(shared);
     }
--- a/src/duty/peer/window.rs
+++ b/src/duty/peer/window.rs
@@ -1,7 +1,8 @@
-//! Flow control for the replies on one connection, so that nng never drops one. Pure.
+//! Flow control for the replies on one connection, so that nng never drops one.
 //!
 //! A raw REP socket queues 64 messages per connection and silently drops the rest. Replies are
-//! therefore counted, and their receiver acknowledges how many it has received.
+//! therefore counted, and their receiver acknowledges how many it has received. This module does no
+//! I/O.
 
 /// Replies that may be in flight on one connection. The rest of nng's 64 is left for pongs.
 pub const REPLY_WINDOW: u64 = 48;
--- a/src/duty/recorder.rs
+++ b/src/duty/recorder.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Marks the recording as complete, after the node has ended.
+    /// Marks the recording as complete; called after the node has exited.
     pub fn finish(&mut self) {
         let Some(ring) = self.ring.take() else { return };
         // If the writer has failed, `RecorderThread::stop` returns its error.
--- a/src/duty/store.rs
+++ b/src/duty/store.rs
@@ -1,8 +1,8 @@
 //! The thread that sends requests to the platform's table service.
 //!
 //! Requests arrive through a bounded ring buffer and are refused at once when it is full. A request
-//! is never repeated without the caller's knowledge: no redirects, no proxy, no retries and no
-//! reused connections. The one exception is [`StoreOperation::ClaimKey`], which resolves a lost
+//! is never resent implicitly: there are no redirects, no proxies, no retries and no reused
+//! connections. The one exception is [`StoreOperation::ClaimKey`], which resolves a lost
 //! response by reading the row back; a create that requires the row to be absent is idempotent.
 
 mod circuit;
@@ -122,7 +122,7 @@
         /// The current row, if any.
         present: Option<Row>,
     },
-    /// The permanent owner of the key: the claim of this request or an earlier one.
+    /// The permanent claim of the key, made by this request or an earlier one.
     Claimed(Claim),
 }
 
@@ -141,7 +141,7 @@
 pub struct StoreError {
     /// Whether it may have taken effect.
     pub certainty: Certainty,
-    /// The cause, for logs.
+    /// The cause as text, for diagnosis; it is stored in recordings.
     pub cause: String,
 }
 
@@ -194,11 +194,11 @@
     /// The longest time the circuit breaker stays open, in milliseconds.
     #[builder(default = 15_000)]
     pub pause_max_ms: u64,
-    /// The seed of the jitter of that time.
+    /// The seed of the jitter of the time the circuit breaker stays open.
     pub seed: u64,
 }
 
-/// Submits requests to the thread. The thread ends when all handles are dropped.
+/// Submits requests to the store thread, which ends when all handles are dropped.
 #[derive(Clone, Debug)]
 pub struct StoreHandle {
     ring: mpsc::Sender<StoreRequest>,
@@ -215,7 +215,7 @@
     }
 }
 
-/// Starts the thread. `sink` is called on that thread with each outcome and must not block.
+/// Starts the store thread. `sink` is called on that thread with each outcome and must not block.
 ///
 /// # Errors
 ///
@@ -256,7 +256,7 @@
             drop(permit);
         });
     }
-    // Waits for the running exchanges; each has a timeout, so this terminates.
+    // Waits for the running requests. Each exchange has a timeout, so this terminates.
     let _all_permits = permits.acquire_many(permit_count).await;
 }
 
--- a/src/duty/store/circuit.rs
+++ b/src/duty/store/circuit.rs
@@ -12,15 +12,15 @@
 
 /// Consecutive failures after which the circuit opens.
 const FAILURES_TO_OPEN: u32 = 3;
-/// Upper bound of the first pause after the circuit opens, in microseconds.
+/// The longest time the circuit stays open after it first opens, in microseconds.
 const FIRST_PAUSE_MAX_US: u64 = 500 * US_PER_MS;
-/// The longest an exchange may wait for the rate limit, in microseconds.
+/// The longest time an exchange may wait for the rate limit, in microseconds.
 const RATE_WAIT_MAX_US: u64 = 2 * US_PER_S;
 
 /// Mutable state of the rate limit and the circuit breaker.
 #[derive(Debug)]
 struct State {
-    /// Tokens of the token bucket; negative while exchanges wait for their token.
+    /// Tokens in the token bucket; negative while exchanges wait for their token.
     tokens: f64,
     refilled_at_us: u64,
     consecutive_failures: u32,
--- a/src/duty/store/claim.rs
+++ b/src/duty/store/claim.rs
@@ -2,13 +2,13 @@
 
 use super::{Certainty, Claim, Condition, Row, StoreError, StoreOperation, StoreOutcome};
 
-/// Attempts at a claim whose responses are lost.
+/// The maximum number of attempts at a claim whose responses are lost.
 const ATTEMPTS_MAX: u32 = 3;
 
 /// Creates the claim's row; after a lost response, reads it back to find the owner of the key.
 ///
-/// A claim may still take effect after its failure was reported. It then names this owner, which
-/// has no record of a run with the key; the key may still be run only by that owner.
+/// A claim may take effect after its failure was reported. It then names this owner, which has no
+/// record of a run with the key; still, only that owner may run requests with the key.
 pub(super) async fn claim_key(
     key: String,
     claim: Claim,
@@ -16,7 +16,7 @@
 ) -> Result<StoreOutcome, StoreError> {
     let value = serde_json::to_value(claim).map_err(|e| StoreError::not_applied(e.to_string()))?;
     let put = StoreOperation::Put { key: key.clone(), value, condition: Condition::Absent };
-    let mut in_doubt = false;
+    let mut may_have_been_applied = false;
     let mut last_error = StoreError::not_applied("not tried");
     for _ in 0..ATTEMPTS_MAX {
         match exchange(put.clone()).await {
@@ -25,8 +25,8 @@
             Ok(_) => last_error = StoreError::not_applied("unexpected outcome of a claim"),
             Err(error) => last_error = error,
         }
-        in_doubt |= last_error.certainty == Certainty::MayHaveBeenApplied;
-        if !in_doubt {
+        may_have_been_applied |= last_error.certainty == Certainty::MayHaveBeenApplied;
+        if !may_have_been_applied {
             return Err(last_error);
         }
         let read = exchange(StoreOperation::ReadRow { key: key.clone() }).await;
@@ -34,7 +34,8 @@
             return existing_claim(&row);
         }
     }
-    let certainty = if in_doubt { Certainty::MayHaveBeenApplied } else { Certainty::NotApplied };
+    let certainty =
+        if may_have_been_applied { Certainty::MayHaveBeenApplied } else { Certainty::NotApplied };
     Err(StoreError { certainty, ..last_error })
 }
 
--- a/src/duty/target.rs
+++ b/src/duty/target.rs
@@ -18,7 +18,7 @@
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 /// The time limit for connecting to the target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an idle connection is kept; targets keep theirs longer.
+/// How long an idle connection is kept; shorter than the idle timeout of targets.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// The path below a target's URL that takes cancellations.
 const CANCEL_PATH: &str = "/_aspenspring/cancel";
@@ -66,7 +66,7 @@
         self.calls.try_send(Command::Run(Box::new(call))).map_err(|_| TargetRingFull)
     }
 
-    /// Queues a cancellation. It is dropped when its ring is full; the target then stops at the request's
+    /// Queues a cancellation, or drops it if its ring is full; the target then stops at the request's
     /// deadline.
     pub fn abort(&self, attempt: AttemptId) {
         let _ = self.aborts.try_send(Command::Abort(attempt));
@@ -180,11 +180,11 @@
                 in_flight.insert(attempt, InFlight { handle, url, token });
             }
             Command::Abort(attempt) => {
-                let Some(ended) = in_flight.remove(&attempt) else { return };
-                ended.handle.abort();
+                let Some(cancelled) = in_flight.remove(&attempt) else { return };
+                cancelled.handle.abort();
                 let worker = self.clone();
                 tasks.spawn(async move {
-                    worker.cancel(&ended.url, &ended.token).await;
+                    worker.cancel(&cancelled.url, &cancelled.token).await;
                     (attempt, Some(TargetOutcome::Aborted))
                 });
             }
@@ -260,7 +260,7 @@
         TargetOutcome::Answered(HttpAnswer { status, headers, body })
     }
 
-    /// Asks the target to stop a request whose caller no longer waits.
+    /// Sends the target a cancellation of a request whose result is no longer needed.
     async fn cancel(&self, url: &str, token: &str) {
         let url = format!("{}{CANCEL_PATH}", url.trim_end_matches('/'));
         let request = self.client.post(url).header(header::CALL, token).timeout(CANCEL_TIMEOUT);
@@ -277,10 +277,12 @@
 /// Whether the answer delimits its body.
 fn is_delimited(method: &str, response: &Response) -> bool {
     let headers = response.headers();
-    let bodiless = method == "HEAD"
+    let is_bodiless = method == "HEAD"
         || response.status() == StatusCode::NO_CONTENT
         || response.status() == StatusCode::NOT_MODIFIED;
-    bodiless || headers.contains_key("content-length") || headers.contains_key("transfer-encoding")
+    is_bodiless
+        || headers.contains_key("content-length")
+        || headers.contains_key("transfer-encoding")
 }
 
 /// The headers of an answer that are forwarded.
--- a/src/duty/web.rs
+++ b/src/duty/web.rs
@@ -41,7 +41,7 @@
     pub body_max_bytes: usize,
     /// The time limit for receiving the first request of a connection and for each body, in milliseconds.
     pub read_timeout_ms: u64,
-    /// How long requests in flight may continue after a stop was requested, in milliseconds.
+    /// How long requests in flight may continue after a stop is requested, in milliseconds.
     #[builder(default = 2_000)]
     pub grace_ms: u64,
 }
@@ -155,7 +155,7 @@
         self.shutdown.clone()
     }
 
-    /// The number of connections closed because no request arrived in time, for the metrics.
+    /// The number of connections closed because of a timeout, for the metrics.
     pub fn slow_senders_cut(&self) -> Arc<AtomicU64> {
         Arc::clone(&self.slow_senders_cut)
     }
@@ -207,7 +207,7 @@
 }
 
 fn launch_error(address: SocketAddr, error: rocket::Error) -> WebError {
-    // Rocket's error panics on drop unless it was inspected; reading its kind counts as that.
+    // Rocket's error panics on drop unless it has been inspected, which reading its kind does.
     WebError::Launch { address, detail: error.kind().to_string() }
 }
 
