--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,4 @@
-//! The process clock, in microseconds since the start.
+//! The process clock, in microseconds since the process started.
 
 use tokio::time::Instant;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! Decisions are made by state machines without I/O or clock (`call`, `admission`, `routing`, `retry`,
 //! `once`, `membership`, `configuration`, combined in `node`). The threads that deliver events and
-//! execute actions are in `duty`.
+//! execute actions are in `duty`. The `node` command runs these; the `mesh` command runs the node in
+//! `mesh` instead, which `platform` adapts to the users' platform.
 
 pub mod admission;
 pub mod call;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// Parses a severity from the settings.
+/// Parses the log level of the settings.
 fn parse_severity(name: &str) -> Result<Severity, LoggingError> {
     if !["error", "warning", "info", "debug"].contains(&name) {
         return Err(LoggingError::UnknownLevel(name.to_owned()));
