--- a/tests/peer/delivery.rs
+++ b/tests/peer/delivery.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_dead_listener_loses_the_link_and_its_successor_gets_nothing_again() {
+fn after_a_restart_the_link_is_replaced_and_no_message_is_resent() {
     const CALLS: u64 = 50;
     let server = start(options(1));
     let address = server.address();
@@ -75,15 +75,15 @@
     let last = call(2, CALLS);
     caller.send_with_retry(address, &last);
     let (_, message) = successor.collect_requests(1).remove(0);
-    assert_eq!(message, last, "only what is new reaches the successor");
+    assert_eq!(message, last, "the successor receives only new messages");
 }
 
 #[test]
-fn a_message_to_nobody_is_given_back() {
+fn a_message_to_an_unused_address_is_reported_unsent() {
     let caller = start(Options { connect_within_ms: 200, ..options(1) });
     let unused = crate::support::unused_address();
     let message = call(1, 1);
-    caller.handle().send(unused, &message).expect("it waits for the connection");
+    caller.handle().send(unused, &message).expect("it is queued until there is a connection");
     let event = caller.wait_for("unsent", |event| matches!(event, PeerEvent::Unsent { .. }));
     assert_eq!(event, PeerEvent::Unsent { peer: unused, message: message.clone() });
     caller.wait_for("link lost", |event| matches!(event, PeerEvent::LinkLost { .. }));
--- a/tests/peer/frames.rs
+++ b/tests/peer/frames.rs
@@ -25,7 +25,7 @@
     bytes
 }
 
-/// Invalid frames, which must close their connection.
+/// Invalid frames with their descriptions; each must close its connection.
 fn bad_frames() -> Vec<(&'static str, Vec<u8>)> {
     const MESSAGE: u8 = 0;
     const ACKNOWLEDGE: u8 = 1;
@@ -35,12 +35,12 @@
         ("empty", frame(&[])),
         ("of an unknown kind", frame(&[9, 1, 2, 3])),
         ("of an unknown version", frame(&[MESSAGE, 77, 0])),
-        ("a message cut short", frame(&[MESSAGE, 1, 0, 5, 5])),
-        ("a ping with a tail", frame(&[MESSAGE, 1, 7, 1, 1, 0xff])),
+        ("a truncated message", frame(&[MESSAGE, 1, 0, 5, 5])),
+        ("a ping with trailing bytes", frame(&[MESSAGE, 1, 7, 1, 1, 0xff])),
         ("a short acknowledgement", frame(&[ACKNOWLEDGE, 0, 0, 1])),
         ("an acknowledgement of replies never sent", frame(&[ACKNOWLEDGE, 0, 0, 0, 0, 0, 0, 0, 1])),
-        ("over-long", frame(&vec![0; MESSAGE_MAX_BYTES + 1_024])),
-        ("with the greatest length", huge),
+        ("too long", frame(&vec![0; MESSAGE_MAX_BYTES + 1_024])),
+        ("with the maximum length", huge),
     ]
 }
 
@@ -65,10 +65,10 @@
 #[test]
 fn a_listener_closes_a_connection_with_a_bad_frame() {
     let server = start(Options { message_max_bytes: MESSAGE_MAX_BYTES, ..options(1) });
-    for (what, bytes) in bad_frames() {
+    for (description, bytes) in bad_frames() {
         let mut stream = connect_as_req(server.address());
         stream.write_all(&bytes).expect("the server reads or closes");
-        assert_eq!(read_to_close(stream), b"", "a frame {what}");
+        assert_eq!(read_to_close(stream), b"", "a frame {description}");
     }
     let mut truncated = connect_as_req(server.address());
     truncated.write_all(&frame(&[0; 100])[..50]).expect("the server reads");
@@ -82,7 +82,7 @@
 
 #[test]
 fn a_caller_gives_up_a_connection_with_a_bad_frame() {
-    for (what, bytes) in bad_frames() {
+    for (description, bytes) in bad_frames() {
         let listener = TcpListener::bind(loopback(0)).expect("loopback has a free port");
         let address = listener.local_addr().expect("it is bound");
         let caller = start(Options { message_max_bytes: MESSAGE_MAX_BYTES, ..options(1) });
@@ -90,8 +90,8 @@
         let (mut stream, _) = listener.accept().expect("the caller connects");
         stream.write_all(&REP_HANDSHAKE).expect("the caller reads");
         stream.write_all(&bytes).expect("the caller reads or closes");
-        let event = caller.wait_for(what, |_| true);
-        assert_eq!(event, PeerEvent::LinkLost { peer: address }, "a frame {what}");
+        let event = caller.wait_for(description, |_| true);
+        assert_eq!(event, PeerEvent::LinkLost { peer: address }, "a frame {description}");
         caller.stop();
         read_to_close(stream);
     }
@@ -109,7 +109,7 @@
             scope.spawn(move || {
                 for _ in 0..CONNECTIONS {
                     let mut stream = connect_as_req(address);
-                    // The connection may be closed before the second one.
+                    // The server may close the connection before the second frame is sent.
                     let _ = stream.write_all(&frame(&[9]));
                     let _ = stream.write_all(&frame(&[9]));
                 }
--- a/tests/peer/library.rs
+++ b/tests/peer/library.rs
@@ -71,22 +71,24 @@
             let _ = opened.lock().map(|opened| opened.send(event));
         })
         .expect("a callback can be set");
-    let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
-    let url = format!("tcp://{}", silent.local_addr().expect("it is bound"));
+    let silent_listener =
+        std::net::TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
+    let url = format!("tcp://{}", silent_listener.local_addr().expect("it is bound"));
     client.dial_async(&url).expect("the address is valid");
-    let (mut connection, _) = silent.accept().expect("the client connects");
+    let (mut connection, _) = silent_listener.accept().expect("the client connects");
     std::io::Write::write_all(&mut connection, &crate::frames::REP_HANDSHAKE).expect("handshake");
     opens.recv().expect("the connection opens");
-    // More than the buffers of the connection can hold, so that the last ones stay in the socket.
+    // More than the buffers of the connection can hold, so that the last requests stay in the
+    // socket's queue.
     let is_full = (0..10_000_u32).any(|number| {
         let mut request = Message::from(&[0_u8; 65_536][..]);
         request.as_mut_header().push_back(&(number | 0x8000_0000).to_be_bytes());
         client.try_send(request).is_err()
     });
     assert!(is_full);
-    drop((connection, silent));
+    drop((connection, silent_listener));
     let server = RawSocket::new(Protocol::Rep0).expect("a socket").socket;
     server.set_opt::<RecvTimeout>(WAIT_TIMEOUT).expect("a timeout can be set");
     server.listen(&url).expect("the port is free again");
-    server.recv().expect("what was queued");
+    server.recv().expect("a queued request");
 }
--- a/tests/peer/liveness.rs
+++ b/tests/peer/liveness.rs
@@ -1,4 +1,4 @@
-//! Tests the pure parts of the transport: liveness, reply flow control, reconnect backoff.
+//! Tests the parts of the transport without I/O: liveness, reply flow control, reconnect backoff.
 
 use aspenspring::call::NodeId;
 use aspenspring::duty::peer::liveness::{Liveness, LivenessAction, LivenessSettings, ReceivedKind};
@@ -56,7 +56,7 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Silence is detected in time, whenever the last message was received.
+    /// Silence is detected in time, no matter when the last message was received.
     #[test]
     fn silence_is_found_in_time(
         messages in prop::collection::vec((1_u64..400, any::<bool>()), 0..12),
@@ -82,7 +82,7 @@
         prop_assert!(found - now_us <= interval_us + SETTINGS.silent_after_us + 2 * TICK_US);
     }
 
-    /// The replies in flight never exceed the window, whatever is acknowledged and when.
+    /// The replies in flight never exceed the window, for any sequence of acknowledgements.
     #[test]
     fn the_window_holds(actions in prop::collection::vec(any::<(bool, u64)>(), 0..400)) {
         let mut window = ReplyWindow::default();
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The wait doubles up to the maximum, and the jitter takes off at most half of it.
+    /// The wait doubles up to the maximum, and the jitter subtracts at most half of it.
     #[test]
     fn the_wait_grows(node in any::<u64>(), failures in 1_u32..20) {
         let mut redial = RedialBackoff::new(NodeId(node), 50, 5_000);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn confirmations_keep_the_window_open() {
+fn acknowledgements_keep_the_window_open() {
     let (mut window, mut count) = (ReplyWindow::default(), ReplyCount::default());
     for _ in 0..10 * REPLY_WINDOW {
         assert!(window.has_room());
--- a/tests/peer/main.rs
+++ b/tests/peer/main.rs
@@ -1,4 +1,4 @@
-//! The transport between nodes.
+//! Tests the transport between nodes (`duty::peer`).
 
 mod delivery;
 mod frames;
--- a/tests/peer/silence.rs
+++ b/tests/peer/silence.rs
@@ -1,4 +1,4 @@
-//! Tests connections that go silent while new ones work.
+//! Tests connections that go silent while new connections to the same address work.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -106,14 +106,14 @@
     assert!(seen.values().all(|&count| count == 1), "{limits:?}: a call arrived twice");
 }
 
-/// Within nng's handshake (8 bytes), at its end, within a frame's header, its body and later
-/// frames.
-const POSITIONS: [usize; 9] = [0, 1, 7, 8, 9, 17, 300, 2_500, 30_000];
+/// Byte counts after which a connection goes silent: within nng's handshake (8 bytes), at its end,
+/// within a frame's header, within its body and within later frames.
+const SILENT_AFTER_BYTES: [usize; 9] = [0, 1, 7, 8, 9, 17, 300, 2_500, 30_000];
 
 #[test]
 fn a_connection_that_goes_silent_upwards_is_replaced() {
     std::thread::scope(|scope| {
-        for up_bytes in POSITIONS {
+        for up_bytes in SILENT_AFTER_BYTES {
             scope.spawn(move || check_replacement(Limits { up_bytes, down_bytes: UNLIMITED }));
         }
     });
@@ -122,17 +122,17 @@
 #[test]
 fn a_connection_that_goes_silent_downwards_is_replaced() {
     std::thread::scope(|scope| {
-        for down_bytes in POSITIONS {
+        for down_bytes in SILENT_AFTER_BYTES {
             scope.spawn(move || check_replacement(Limits { up_bytes: UNLIMITED, down_bytes }));
         }
     });
 }
 
 #[test]
-fn a_full_ring_refuses_at_once_and_what_it_held_never_leaves() {
-    /// Enough for nng's handshake and a few pings.
+fn a_full_ring_refuses_at_once_and_its_messages_are_never_sent_later() {
+    /// Enough for nng's handshake and a few pings; then the connection goes silent.
     const FORWARDED_BYTES: usize = 200;
-    const MANY: u64 = 4_000;
+    const CALLS_MAX: u64 = 4_000;
     let server = start(options(1));
     let address =
         start_proxy(server.address(), Limits { up_bytes: FORWARDED_BYTES, down_bytes: UNLIMITED });
@@ -141,11 +141,11 @@
     caller.wait_for("link up", |event| matches!(event, PeerEvent::LinkUp { .. }));
     let big = |sequence| call_with_body(2, sequence, 256 << 10);
     let refused =
-        (0..MANY).find_map(|sequence| caller.handle().send(address, &big(sequence)).err());
+        (0..CALLS_MAX).find_map(|sequence| caller.handle().send(address, &big(sequence)).err());
     assert_eq!(refused, Some(SendError::RingFull));
     caller.wait_for("link lost", |event| matches!(event, PeerEvent::LinkLost { .. }));
     caller.wait_for("link up", |event| matches!(event, PeerEvent::LinkUp { .. }));
-    let last = call(2, MANY);
+    let last = call(2, CALLS_MAX);
     caller.send_with_retry(address, &last);
     let (_, first_to_arrive) = server.collect_requests(1).remove(0);
     assert_eq!(first_to_arrive, last, "no queued message was sent later");
--- a/tests/peer/support.rs
+++ b/tests/peer/support.rs
@@ -15,7 +15,7 @@
 
 /// The longest body in these tests.
 pub const BODY_MAX_BYTES: usize = 1 << 20;
-/// How long a test waits before it fails; much longer than expected.
+/// How long a test waits before it fails; much longer than any wait should take.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A running transport with a queue of its events.
@@ -101,7 +101,7 @@
         self.transport.handle()
     }
 
-    /// Stops it.
+    /// Stops the transport.
     pub fn stop(self) {
         self.transport.stop();
     }
@@ -123,22 +123,23 @@
     /// Calls `attempt` until it returns a result.
     pub fn poll_until<T>(&self, mut attempt: impl FnMut() -> Option<T>) -> T {
         const PAUSE: Duration = Duration::from_millis(1);
-        let tries = WAIT_TIMEOUT.as_millis() / PAUSE.as_millis();
-        for _ in 0..tries {
+        let attempts_max = WAIT_TIMEOUT.as_millis() / PAUSE.as_millis();
+        for _ in 0..attempts_max {
             if let Some(result) = attempt() {
                 return result;
             }
             std::thread::sleep(PAUSE);
         }
-        panic!("no result in a very long time");
+        panic!("no result within {WAIT_TIMEOUT:?}");
     }
 
-    /// Waits for the first event that `is_wanted`; earlier ones are discarded.
-    pub fn wait_for(&self, what: &str, is_wanted: impl Fn(&PeerEvent) -> bool) -> PeerEvent {
-        let give_up_at = Instant::now() + WAIT_TIMEOUT;
+    /// Waits for the first event that `is_wanted` accepts; earlier ones are discarded.
+    pub fn wait_for(&self, description: &str, is_wanted: impl Fn(&PeerEvent) -> bool) -> PeerEvent {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let event = self.events.recv_deadline(give_up_at);
-            let event = event.unwrap_or_else(|_| panic!("no {what} in a very long time"));
+            let event = self.events.recv_deadline(deadline);
+            let event =
+                event.unwrap_or_else(|_| panic!("no {description} within {WAIT_TIMEOUT:?}"));
             if is_wanted(&event) {
                 return event;
             }
