--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,4 +1,4 @@
-//! Tests the operator API: the key, the routes, a full ring buffer, a node that does not reply.
+//! Tests the operator API: the key, the routes, a full ring buffer and a node that does not reply.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -49,14 +49,14 @@
     let settings = TelemetrySettings { log_level: "debug".to_owned(), ..Default::default() };
     let logging = Logging::start(&settings, output.clone()).unwrap();
     let (sender, ring) = bounded(ring_entries);
-    let offer = move |request| {
+    let try_send = move |request| {
         sender.try_send(request).map_err(crossbeam_channel::TrySendError::into_inner)
     };
     let options = OperatorOptions::builder()
         .address(SocketAddr::from(([127, 0, 0, 1], 0)))
         .maybe_key(key.and_then(OperatorKey::new))
         .key_variable("THE_VARIABLE")
-        .requests(Arc::new(offer))
+        .requests(Arc::new(try_send))
         .metrics(Metrics::new().unwrap())
         .events(EventLog::new(logging.logger.clone(), Clock::start()))
         .reply_timeout_ms(100)
@@ -69,7 +69,7 @@
     TestServer { server, address, ring, logging, output, client }
 }
 
-/// A response: status, entity tag and JSON body.
+/// A response: status, entity tag and body.
 #[derive(Debug)]
 struct Response {
     status: StatusCode,
@@ -95,10 +95,10 @@
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
-        let answer = request.body(body.to_owned()).send().await.unwrap();
-        let status = answer.status();
-        let etag = answer.headers().get("etag").map(|tag| tag.to_str().unwrap().to_owned());
-        Response { status, etag, text: answer.text().await.unwrap() }
+        let response = request.body(body.to_owned()).send().await.unwrap();
+        let status = response.status();
+        let etag = response.headers().get("etag").map(|tag| tag.to_str().unwrap().to_owned());
+        Response { status, etag, text: response.text().await.unwrap() }
     }
 
     async fn get(&self, path: &str) -> Response {
@@ -255,8 +255,7 @@
 #[tokio::test]
 async fn a_full_ring_and_a_silent_node_are_told_apart() {
     let server = start(Some(KEY), 1);
-    // Nothing reads from the ring buffer: the first submission stays in it, the second finds it
-    // full.
+    // Nothing reads from the ring buffer, so the first submission fills it.
     let silent = server.put_config("\"5\"", "{}").await;
     assert_eq!((silent.status.as_u16(), &silent.json()["outcome"]), (503, &json!("unknown")));
     let full = server.put_config("\"5\"", "{}").await;
--- a/tests/processes/mod.rs
+++ b/tests/processes/mod.rs
@@ -1,4 +1,5 @@
-//! Runs a small site of real processes on loopback. Each process is killed by its id at the end of the test.
+//! Helpers that run a small site of real processes on loopback. Each process is killed by its id at the end of
+//! the test.
 
 use std::collections::HashSet;
 use std::fs::File;
@@ -116,8 +117,11 @@
         path: &str,
         key: Option<&str>,
     ) -> Option<(u16, String, String)> {
-        let url =
-            format!("http://{}/{}{path}", loopback(self.pairs[pair].caller_port), self.first());
+        let url = format!(
+            "http://{}/{}{path}",
+            loopback(self.pairs[pair].caller_port),
+            self.first_service()
+        );
         let method = reqwest::Method::from_bytes(method.as_bytes()).expect("a valid method");
         let mut request = self.client.request(method, url);
         if let Some(key) = key {
@@ -134,8 +138,8 @@
     /// next service.
     ///
     /// A successful answer through a node may come from the target of another node, so it does not show
-    /// that this node knows the next service. Nodes learn of each other at intervals: one of two front
-    /// nodes learned of the next service seconds after the other. Until then its target's calls are refused.
+    /// that this node knows the next service. Nodes discover each other at intervals: one of two front
+    /// nodes discovered the next service seconds after the other. Until then, its target's calls are refused.
     pub async fn wait_until_served(&self) {
         for pair in 0..self.pairs.len() {
             for poll in 0..POLLS_MAX {
@@ -155,7 +159,7 @@
                 };
                 collect_calls(&body, &mut seen);
             }
-            if seen.len() == self.calls_expected() {
+            if seen.len() == self.expected_calls() {
                 return;
             }
             assert!(
@@ -166,8 +170,8 @@
         }
     }
 
-    /// The number of pairs of targets in which one calls the other.
-    fn calls_expected(&self) -> usize {
+    /// The number of pairs of targets of which the first can call the second.
+    fn expected_calls(&self) -> usize {
         let mut expected = 0;
         for pair in &self.pairs {
             let rest = self.pairs.iter().skip_while(|other| other.service != pair.service);
@@ -211,7 +215,7 @@
     }
 
     /// The first service of the chain.
-    pub fn first(&self) -> &'static str {
+    pub fn first_service(&self) -> &'static str {
         self.pairs[0].service
     }
 
@@ -310,7 +314,7 @@
     start_program(&all, Stdio::null())
 }
 
-/// Starts the program with its log written to `log`.
+/// Starts the program under test with its log written to `log`.
 fn start_program(arguments: &[&str], log: Stdio) -> Child {
     Command::new(env!("CARGO_BIN_EXE_aspenspring"))
         .args(arguments)
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -16,7 +16,7 @@
 use aspenspring::standin::platform::start_table;
 use serde_json::json;
 
-/// Much longer than any exchange takes here; reached only by a hung test.
+/// How long to wait for an event. Much longer than any exchange takes, so only a hung test reaches it.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 
 struct TestStore {
@@ -170,8 +170,8 @@
     }
 }
 
-/// Starts a server that counts connections and sends each the same bytes, or with `None` never
-/// responds.
+/// Starts a server that counts connections and sends `answer` on each of them, or never responds if it
+/// is `None`.
 fn start_faulty_server(answer: Option<&'static [u8]>) -> (String, Arc<AtomicUsize>) {
     let listener = TcpListener::bind(any_port()).unwrap();
     let url = format!("http://{}", listener.local_addr().unwrap());
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn after_failures_the_store_is_left_alone_and_tried_again_later() {
+fn after_failures_the_circuit_breaker_opens_and_later_closes() {
     let server = table();
     let options = StoreOptions::builder().table_url(server.url()).seed(1).pause_max_ms(200);
     let mut store = TestStore::start_with(options.build());
