--- a/src/duty/peer/error.rs
+++ b/src/duty/peer/error.rs
@@ -50,7 +50,7 @@
     },
     /// The queue of the connection is full.
     #[error("the send queue of the connection is full")]
-    RingFull,
+    SendQueueFull,
     /// There is no connection to the peer, and the last attempt to connect failed.
     #[error("the peer cannot be reached")]
     Unreachable,
--- a/src/duty/peer/inbound.rs
+++ b/src/duty/peer/inbound.rs
@@ -132,7 +132,7 @@
         let mut table = lock(&self.table);
         let connection = table.connections.get_mut(&to.pipe).ok_or(SendError::ConnectionClosed)?;
         if connection.pending.len() >= self.pending_max {
-            return Err(SendError::RingFull);
+            return Err(SendError::SendQueueFull);
         }
         envelope::set_reply_header(&mut frame, to.pipe, to.request);
         connection.pending.push_back(frame);
--- a/src/duty/peer/link.rs
+++ b/src/duty/peer/link.rs
@@ -43,7 +43,7 @@
     /// The backoff between attempts to connect.
     redial: RedialBackoff,
     /// The number of the latest request.
-    request: u32,
+    last_request: u32,
 }
 
 /// The phase of a connection.
@@ -103,7 +103,7 @@
             is_broken: false,
             pending: VecDeque::new(),
             redial,
-            request: 0,
+            last_request: 0,
         };
         Self { peer, state: Mutex::new(state) }
     }
@@ -122,8 +122,8 @@
     ) -> Result<(), SendError> {
         let mut guard = lock(&self.state);
         let state = &mut *guard;
-        state.request = state.request.wrapping_add(1);
-        let request = state.request;
+        state.last_request = state.last_request.wrapping_add(1);
+        let request = state.last_request;
         match &mut state.phase {
             Phase::Up(connection) => {
                 connection.send(frame, request)?;
@@ -134,7 +134,7 @@
                 state.pending.push_back(message.clone());
                 Ok(())
             }
-            Phase::NotConnected | Phase::Dialing { .. } => Err(SendError::RingFull),
+            Phase::NotConnected | Phase::Dialing { .. } => Err(SendError::SendQueueFull),
             Phase::Backoff { .. } => Err(SendError::Unreachable),
         }
     }
@@ -180,8 +180,8 @@
         if state.generation != generation {
             return false;
         }
-        state.request = state.request.wrapping_add(1);
-        let request = state.request;
+        state.last_request = state.last_request.wrapping_add(1);
+        let request = state.last_request;
         let Phase::Up(connection) = &mut state.phase else { return false };
         connection.liveness.record_received(now_us, received_kind(message));
         if !matches!(message, Message::Pong { .. }) {
@@ -241,8 +241,8 @@
             }
             Phase::Up(_) if self.is_broken => self.drop_connection(peer, now_us),
             Phase::Up(connection) => {
-                self.request = self.request.wrapping_add(1);
-                let Some(events) = connection.check(peer, shared, now_us, self.request) else {
+                self.last_request = self.last_request.wrapping_add(1);
+                let Some(events) = connection.check(peer, shared, now_us, self.last_request) else {
                     return self.drop_connection(peer, now_us);
                 };
                 if self.is_stable(now_us) {
@@ -277,8 +277,8 @@
         };
         let mut events = Vec::new();
         for message in self.pending.drain(..) {
-            self.request = self.request.wrapping_add(1);
-            if connection.wrap_and_send(shared, &message, self.request).is_err() {
+            self.last_request = self.last_request.wrapping_add(1);
+            if connection.wrap_and_send(shared, &message, self.last_request).is_err() {
                 events.push(PeerEvent::Unsent { peer, message });
                 continue;
             }
@@ -336,7 +336,7 @@
     /// Puts a frame into the connection's send queue.
     fn send(&self, mut frame: Frame, request: u32) -> Result<(), SendError> {
         envelope::set_request_header(&mut frame, request);
-        self.open.socket.try_send(frame).map_err(|_| SendError::RingFull)
+        self.open.socket.try_send(frame).map_err(|_| SendError::SendQueueFull)
     }
 
     /// Wraps and sends a message.
--- a/src/duty/store.rs
+++ b/src/duty/store.rs
@@ -166,10 +166,10 @@
     pub outcome: Result<StoreOutcome, StoreError>,
 }
 
-/// The ring buffer is full or the thread has ended; nothing was sent.
+/// The ring buffer to the store thread is full or the thread has ended; nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the store's ring is full")]
-pub struct StoreFull;
+pub struct StoreRingFull;
 
 /// The address of the table service and the limits on its use.
 #[derive(Clone, Debug, Builder)]
@@ -209,9 +209,9 @@
     ///
     /// # Errors
     ///
-    /// `StoreFull` if the ring buffer is full or the thread has ended; the request was not sent.
-    pub fn try_submit(&self, request: StoreRequest) -> Result<(), StoreFull> {
-        self.ring.try_send(request).map_err(|_| StoreFull)
+    /// `StoreRingFull` if the ring buffer is full or the thread has ended; the request was not sent.
+    pub fn try_submit(&self, request: StoreRequest) -> Result<(), StoreRingFull> {
+        self.ring.try_send(request).map_err(|_| StoreRingFull)
     }
 }
 
--- a/tests/peer/silence.rs
+++ b/tests/peer/silence.rs
@@ -142,7 +142,7 @@
     let big = |sequence| call_with_body(2, sequence, 256 << 10);
     let refused =
         (0..CALLS_MAX).find_map(|sequence| caller.handle().send(address, &big(sequence)).err());
-    assert_eq!(refused, Some(SendError::RingFull));
+    assert_eq!(refused, Some(SendError::SendQueueFull));
     caller.wait_for("link lost", |event| matches!(event, PeerEvent::LinkLost { .. }));
     caller.wait_for("link up", |event| matches!(event, PeerEvent::LinkUp { .. }));
     let last = call(2, CALLS_MAX);
--- a/tests/peer/support.rs
+++ b/tests/peer/support.rs
@@ -115,7 +115,7 @@
     pub fn send_with_retry(&self, peer: SocketAddr, message: &Message) {
         self.poll_until(|| match self.handle().send(peer, message) {
             Ok(()) => Some(()),
-            Err(SendError::RingFull) => None,
+            Err(SendError::SendQueueFull) => None,
             Err(error) => panic!("{error}"),
         });
     }
