--- a/src/duty/connection_watch.rs
+++ b/src/duty/connection_watch.rs
@@ -30,9 +30,9 @@
 ///
 /// The notification comes within a second, and never on a listener without a watch.
 #[derive(Clone, Debug, Default)]
-pub struct CallerGone(Arc<Notify>);
+pub struct DisconnectSignal(Arc<Notify>);
 
-impl CallerGone {
+impl DisconnectSignal {
     /// The guard of a request; all calls for one request return the same notification.
     pub fn of(request: &Request<'_>) -> Self {
         request.local_cache(Self::default).clone()
@@ -45,7 +45,7 @@
 }
 
 #[rocket::async_trait]
-impl<'r> FromRequest<'r> for CallerGone {
+impl<'r> FromRequest<'r> for DisconnectSignal {
     type Error = Infallible;
 
     async fn from_request(request: &'r Request<'_>) -> Outcome<Self, Infallible> {
@@ -59,7 +59,7 @@
     /// First seen at this time; no request has arrived yet.
     New(Instant),
     /// A request is in flight; its handler is notified when the connection disappears.
-    Busy(CallerGone),
+    Busy(DisconnectSignal),
     /// The last request has been answered.
     Idle {
         /// When it was answered, or when the caller was last seen to receive bytes of the answer.
@@ -108,8 +108,8 @@
         let previous = self.connections().insert(remote, state);
         // A connection has one request at a time, so the previous request belongs to a closed
         // connection whose caller port has been reused.
-        if let (true, Some(ConnectionState::Busy(gone))) = (is_request, previous) {
-            gone.0.notify_one();
+        if let (true, Some(ConnectionState::Busy(disconnect))) = (is_request, previous) {
+            disconnect.0.notify_one();
         }
     }
 
@@ -134,8 +134,8 @@
         let mut connections = self.connections();
         connections.retain(|remote, state| {
             let is_present = present.contains(remote);
-            if let (false, ConnectionState::Busy(gone)) = (is_present, state) {
-                gone.0.notify_one();
+            if let (false, ConnectionState::Busy(disconnect)) = (is_present, state) {
+                disconnect.0.notify_one();
             }
             is_present
         });
@@ -174,7 +174,7 @@
     }
 
     async fn on_request(&self, request: &mut Request<'_>, _: &mut Data<'_>) {
-        self.record(request, ConnectionState::Busy(CallerGone::of(request)));
+        self.record(request, ConnectionState::Busy(DisconnectSignal::of(request)));
     }
 
     async fn on_response<'r>(&self, request: &'r Request<'_>, _: &mut Response<'r>) {
--- a/src/duty/http.rs
+++ b/src/duty/http.rs
@@ -16,7 +16,7 @@
 use super::decider::DeciderHandle;
 use super::problem::Problem;
 use super::target::HOP_BY_HOP;
-use super::web::CallerGone;
+use super::web::DisconnectSignal;
 use super::{answer, web};
 
 /// The prefix of paths that the node serves itself.
@@ -203,10 +203,10 @@
         let Ok((ticket, mut end)) = self.decider.submit_call(make_event) else {
             return Err(answer::refused(RefusalReason::NodeFull));
         };
-        let gone = CallerGone::of(request);
+        let disconnect = DisconnectSignal::of(request);
         let ended = tokio::select! {
             ended = &mut end => ended,
-            () = gone.wait() => {
+            () = disconnect.wait() => {
                 // If the ring is full, the call ends at its deadline instead.
                 let _ = self.decider.try_submit_event(NodeEvent::CallerGone { ticket });
                 end.await
--- a/src/duty/web.rs
+++ b/src/duty/web.rs
@@ -20,7 +20,7 @@
 
 use super::connection_watch::ConnectionWatch;
 
-pub use super::connection_watch::CallerGone;
+pub use super::connection_watch::DisconnectSignal;
 pub use super::problem::{Problem, problem_catchers};
 
 /// How long a listener may take to bind its address.
--- a/tests/telemetry_disconnect.rs
+++ b/tests/telemetry_disconnect.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-use aspenspring::duty::web::{CallerGone, WebOptions, WebServer};
+use aspenspring::duty::web::{DisconnectSignal, WebOptions, WebServer};
 use rocket::{Build, Rocket, State, get, routes};
 
 /// How long a test waits for an expected event before it fails.
@@ -44,7 +44,10 @@
 
 /// A handler that ends as soon as its caller disconnects, or after a long time.
 #[get("/until_gone")]
-async fn until_gone(events: &State<std::sync::Mutex<Sender<HandlerEvent>>>, gone: CallerGone) {
+async fn until_gone(
+    events: &State<std::sync::Mutex<Sender<HandlerEvent>>>,
+    gone: DisconnectSignal,
+) {
     let events = events.lock().unwrap().clone();
     events.send(HandlerEvent::Started).unwrap();
     tokio::select! {
@@ -73,8 +76,8 @@
 }
 
 /// Rocket 0.5 runs each request in a task of its own, so a handler is not dropped when its caller
-/// disconnects; a handler that needs to know waits for `CallerGone`. If this test fails, rocket has
-/// begun to drop such handlers.
+/// disconnects; a handler that needs to know waits for `DisconnectSignal`. If this test fails, rocket
+/// has begun to drop such handlers.
 #[test]
 fn a_handler_outlives_its_caller() {
     let (server, events) = start();
