--- a/src/mesh/ancestry.rs
+++ b/src/mesh/ancestry.rs
@@ -1,8 +1,8 @@
-//! Which request a call of the target belongs to.
+//! Matches the calls that the target makes to the request it makes them for.
 //!
-//! A target names the calls that it makes for a request by the id of that request, a dot and a part
-//! of its own. The claim is checked against what the target is running at this moment, so an id that
-//! only looks alike is taken for that of a new request.
+//! The id of such a call is the id of the parent request, a dot and a suffix. The parent id is
+//! checked against the requests that the target is running now; an id that only has the same form
+//! counts as that of a new request.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -12,39 +12,40 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Stands between the id of a request and the own part of a call made for it.
+/// Separates the id of the parent request from the suffix of a call made for it.
 const SEPARATOR: char = '.';
-/// For how long a run that has ended, or may have begun before this node did, is remembered: calls made for
-/// it may still be on their way, or the target may not have noticed yet.
-const ENDED_REMEMBERED: Duration = Duration::from_secs(6);
-/// The most runs that are remembered so.
+/// How long a finished request is remembered, and how long after its start a node assumes that the
+/// target may still run requests of the previous process. Covers calls still in transit and targets
+/// that have not noticed the end yet.
+const ENDED_RETENTION: Duration = Duration::from_secs(6);
+/// Upper bound on remembered finished requests.
 const ENDED_MAX: usize = 20_000;
 
-/// Where a request came from, as far as calls made for it inherit it.
+/// What calls inherit from the request that they are made for.
 #[derive(Clone, Debug)]
 pub struct Origin {
-    /// The route by which a caller's request began it all.
+    /// Route of the caller's original request.
     pub root: Rc<str>,
-    /// The rank of that route.
+    /// Priority rank of that route.
     pub rank: u8,
-    /// When an answer is of no more use.
+    /// When the answer becomes useless.
     pub deadline: Instant,
-    /// Whether the run repeats another, or was made by one that does.
+    /// Whether the request is a retry, or was made by one.
     pub is_repeat: bool,
-    /// The team whose key let the caller's request in; empty where no key did.
+    /// Team whose API key admitted the original request; empty if no key was used.
     pub team: Rc<str>,
-    /// Whether a call that it made has failed.
+    /// Whether a call made for the request has failed.
     pub has_failed_below: Rc<Cell<bool>>,
-    /// Cancelled when the run ends without an answer: nobody waits for the calls made for it any more.
+    /// Cancelled when the request ends without an answer, as nobody waits for its calls any more.
     pub withdrawn: CancellationToken,
 }
 
-/// The requests that the target is running.
+/// The requests that the local target is running.
 #[derive(Debug)]
 pub struct Ancestry {
     started: Instant,
     running: RefCell<HashMap<String, Origin>>,
-    ended: RefCell<Ended>,
+    ended: RefCell<RecentlyEnded>,
 }
 
 impl Default for Ancestry {
@@ -53,54 +54,54 @@
     }
 }
 
-/// Runs that have ended of late.
+/// Requests that ended recently.
 #[derive(Debug, Default)]
-struct Ended {
-    in_order: VecDeque<(Instant, Rc<str>)>,
-    /// The id of each, and whether the target answered it.
+struct RecentlyEnded {
+    by_time: VecDeque<(Instant, Rc<str>)>,
+    /// Whether the target answered, by request id.
     answered: HashMap<Rc<str>, bool>,
 }
 
-impl Ended {
-    fn note(&mut self, id: &str, is_answered: bool, now: Instant) {
+impl RecentlyEnded {
+    fn insert(&mut self, id: &str, is_answered: bool, now: Instant) {
         let id: Rc<str> = id.into();
         if self.answered.insert(Rc::clone(&id), is_answered).is_none() {
-            self.in_order.push_back((now, id));
+            self.by_time.push_back((now, id));
         }
-        while self.in_order.len() > ENDED_MAX {
-            self.forget_first();
+        while self.by_time.len() > ENDED_MAX {
+            self.evict_oldest();
         }
     }
 
-    fn sweep(&mut self, now: Instant) {
-        while self.in_order.front().is_some_and(|(at, _)| now - *at > ENDED_REMEMBERED) {
-            self.forget_first();
+    fn evict_expired(&mut self, now: Instant) {
+        while self.by_time.front().is_some_and(|(at, _)| now - *at > ENDED_RETENTION) {
+            self.evict_oldest();
         }
     }
 
-    fn forget_first(&mut self) {
-        if let Some((_, id)) = self.in_order.pop_front() {
+    fn evict_oldest(&mut self) {
+        if let Some((_, id)) = self.by_time.pop_front() {
             self.answered.remove(&id);
         }
     }
 }
 
-/// A request that the target is running, until dropped.
-pub struct Running<'a> {
+/// Registers a request as running until dropped.
+pub struct RunGuard<'a> {
     ancestry: &'a Ancestry,
     id: &'a str,
     withdrawn: CancellationToken,
     is_answered: bool,
 }
 
-impl Running<'_> {
-    /// Ends the run with the target's answer. Calls that it has begun are the target's to end.
+impl RunGuard<'_> {
+    /// Marks the request as answered. The target itself ends calls that it still has open.
     pub fn finish(mut self) {
         self.is_answered = true;
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for RunGuard<'_> {
     fn drop(&mut self) {
         self.ancestry.running.borrow_mut().remove(self.id);
         if !self.is_answered {
@@ -108,39 +109,39 @@
         }
         let now = Instant::now();
         let mut ended = self.ancestry.ended.borrow_mut();
-        ended.sweep(now);
-        ended.note(self.id, self.is_answered, now);
+        ended.evict_expired(now);
+        ended.insert(self.id, self.is_answered, now);
     }
 }
 
 impl Ancestry {
-    /// Notes that the target runs the request `id` until what is given back is dropped.
-    pub fn run<'a>(&'a self, id: &'a str, origin: Origin) -> Running<'a> {
+    /// Registers request `id` as running until the returned guard is dropped.
+    pub fn run<'a>(&'a self, id: &'a str, origin: Origin) -> RunGuard<'a> {
         let withdrawn = origin.withdrawn.clone();
         self.running.borrow_mut().insert(id.to_owned(), origin);
-        Running { ancestry: self, id, withdrawn, is_answered: false }
+        RunGuard { ancestry: self, id, withdrawn, is_answered: false }
     }
 
-    /// How many of the requests that run began by the route `root`.
+    /// Number of running requests that originate from the route `root`.
     pub fn running_of(&self, root: &str) -> usize {
         self.running.borrow().values().filter(|origin| &*origin.root == root).count()
     }
 
-    /// Whether `id` names a call for a run of the target that is over, or that an earlier life of this node
-    /// had begun. Nobody waits for its answer.
+    /// Whether `id` names a call made for a request that has ended, or that may have been started
+    /// by the previous process of this node. Nobody waits for its answer.
     pub fn is_orphan(&self, id: &str) -> bool {
         let Some((parent, _)) = id.rsplit_once(SEPARATOR) else { return false };
-        self.started.elapsed() < ENDED_REMEMBERED
+        self.started.elapsed() < ENDED_RETENTION
             || self.ended.borrow().answered.contains_key(parent)
     }
 
-    /// Whether `id` names a call for a run that ended without an answer.
-    pub fn was_withdrawn(&self, id: &str) -> bool {
+    /// Whether `id` names a call made for a request that ended without an answer.
+    pub fn has_unanswered_parent(&self, id: &str) -> bool {
         let Some((parent, _)) = id.rsplit_once(SEPARATOR) else { return false };
         self.ended.borrow().answered.get(parent) == Some(&false)
     }
 
-    /// The origin of the request for which the target makes the call `id`, if it makes it.
+    /// The request for which the target makes the call `id`, if it is running.
     pub fn parent(&self, id: &str) -> Option<Origin> {
         let (parent, _) = id.rsplit_once(SEPARATOR)?;
         self.running.borrow().get(parent).cloned()
--- a/src/mesh/blame.rs
+++ b/src/mesh/blame.rs
@@ -1,21 +1,21 @@
-//! What a node does about requests that end targets: it tells the others, the log, and whoever keeps what is held
-//! back.
+//! Handles requests that crash targets: updates the quarantine, informs the other nodes, and logs
+//! and persists changes.
 
 use crate::event::LogEvent;
 
-use super::crash::Broken;
+use super::crash::InterruptedRequest;
 use super::fingerprint::Fingerprint;
 use super::frame::{Crash, Frame, Suspicion};
 use super::node::Node;
 use super::quarantine::Standing;
 use super::target::Instance;
 
-/// Takes in that the target beside the node has ended with `running`, and tells all other nodes.
-pub fn note_crash(node: &Node, instance: &Instance, running: &[Broken]) {
+/// Records that the local target crashed while running `running`, and informs all other nodes.
+pub fn note_crash(node: &Node, instance: &Instance, running: &[InterruptedRequest]) {
     if node.target.mark_unavailable(&instance.incarnation) {
         node.target_changed("refused_connection");
     }
-    let requests = running.iter().map(|broken| broken.fingerprint).collect();
+    let requests = running.iter().map(|request| request.fingerprint).collect();
     let crash = node.quarantine.note_crash(requests);
     let (suspects, _) = node.quarantine.counts();
     node.log.emit(&LogEvent::TargetCrashed {
@@ -25,35 +25,35 @@
         suspects: suspects as u32,
     });
     if let Some(held) = crash.held {
-        let broken = running.iter().find(|broken| broken.fingerprint == held);
-        let path = broken.map(|broken| broken.path.clone()).unwrap_or_default();
-        report_held(node, held, path, "crash");
+        let request = running.iter().find(|request| request.fingerprint == held);
+        let path = request.map(|request| request.path.clone()).unwrap_or_default();
+        log_quarantined(node, held, path, "crash");
     }
-    node.callers.tell_all(&Frame::Crash(crash));
+    node.callers.broadcast(&Frame::Crash(crash));
 }
 
-/// Takes in that a target beside another node has ended.
+/// Records that the target of another node crashed.
 pub fn take_crash(node: &Node, crash: &Crash) {
     node.quarantine.apply_crash(crash);
     if let Some(held) = crash.held {
-        report_held(node, held, String::new(), "peer");
+        log_quarantined(node, held, String::new(), "peer");
     }
 }
 
-/// Takes in what another node knows of requests, or what was written down.
+/// Merges what another node or the store knows about suspects.
 pub fn take_suspicions(node: &Node, suspicions: &[Suspicion], learned_from: &'static str) {
     for suspicion in suspicions {
         if node.quarantine.apply_suspicion(suspicion) {
-            report_held(node, suspicion.fingerprint, String::new(), learned_from);
+            log_quarantined(node, suspicion.fingerprint, String::new(), learned_from);
         }
     }
 }
 
-/// Takes in that a request has succeeded on the target beside the node.
+/// Records that a request succeeded on the local target.
 pub fn note_success(node: &Node, fingerprint: Fingerprint) {
     let cleared = node.quarantine.clear(fingerprint);
     if cleared.was_suspect {
-        node.callers.tell_all(&Frame::Cleared(fingerprint));
+        node.callers.broadcast(&Frame::Cleared(fingerprint));
     }
     if cleared.was_held {
         node.quarantine.save(fingerprint);
@@ -62,7 +62,12 @@
     }
 }
 
-fn report_held(node: &Node, fingerprint: Fingerprint, path: String, learned_from: &'static str) {
+fn log_quarantined(
+    node: &Node,
+    fingerprint: Fingerprint,
+    path: String,
+    learned_from: &'static str,
+) {
     let Standing::Held(left) = node.quarantine.standing(fingerprint) else { return };
     node.log.emit(&LogEvent::RequestHeld {
         fingerprint: fingerprint.to_string(),
--- a/src/mesh/budget.rs
+++ b/src/mesh/budget.rs
@@ -1,4 +1,4 @@
-//! How many repeats a node may send to each service.
+//! Limits the retries that a node sends to each service.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,145 +9,146 @@
 
 use super::settings::RetrySection;
 
-/// The part of the allowed share that a node uses: what is left over bears that repeats of one level
-/// reach some nodes of the next more than others.
-const USED_SHARE: f64 = 0.75;
-/// The part of the slack that all nodes together may use: each decides by chance whether to use its part.
-const USED_SLACK: f64 = 0.4;
-/// The part of a budget that each rank leaves to those above it. A call that an urgent request makes is
-/// one of few, and its repeat saves the request; one of many calls of a page hardly ever does.
-const LEFT_PER_RANK: f64 = 0.25;
-/// What is left to the least important ranks.
-const LEFT_MIN: f64 = 0.25;
-
-/// The time over which requests and repeats are weighed against each other.
-const SPAN: Duration = Duration::from_secs(10);
-/// The number of parts in which a span is counted.
-const PARTS: usize = 20;
-
-/// What was sent to a service in one part of a span.
+/// Fraction of the permitted retry share that a node uses. The rest absorbs uneven load: retries
+/// from one level of the call tree reach some nodes of the next more than others.
+const SHARE_FRACTION: f64 = 0.75;
+/// Fraction of the slack that all nodes together use; each decides at random whether to use its
+/// part.
+const SLACK_FRACTION: f64 = 0.4;
+/// Fraction of a budget that each rank leaves to more important ones. Retrying one of the few calls
+/// of an urgent request usually saves it; retrying one of the many calls of a page rarely does.
+const RESERVED_PER_RANK: f64 = 0.25;
+/// Least fraction of the budget available to any rank.
+const RANK_FRACTION_MIN: f64 = 0.25;
+
+/// Length of the sliding window over which retries are compared with requests.
+const WINDOW: Duration = Duration::from_secs(10);
+/// Number of buckets in a window.
+const BUCKETS: usize = 20;
+
+/// Traffic to a service in one bucket of the window.
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct Bucket {
     requests: u32,
-    /// What was paid for repeats.
-    paid: f64,
+    /// Budget spent on retries.
+    spent: f64,
 }
 
-/// What was sent to a service of late.
+/// Sliding window of the traffic to a service.
 #[derive(Debug)]
-struct Recent {
-    /// The parts of a span and the one that has just ended, in a ring.
-    parts: [Part; PARTS + 1],
-    /// The number of the part that is being counted, from the start of the node on.
+struct RetryWindow {
+    /// The buckets of a window and the one that has just left it, as a ring.
+    buckets: [Bucket; BUCKETS + 1],
+    /// Number of the current bucket, counted from the start of the node.
     newest: u64,
 }
 
-impl Recent {
+impl RetryWindow {
     fn new(newest: u64) -> Self {
-        Self { parts: [Part::default(); PARTS + 1], newest }
+        Self { buckets: [Bucket::default(); BUCKETS + 1], newest }
     }
 
-    /// Moves on to the part of the given number.
+    /// Advances to the bucket of the given number.
     fn advance(&mut self, number: u64) {
-        let passed = number.saturating_sub(self.newest).min(self.parts.len() as u64);
-        for behind in 0..passed {
-            let place = (number - behind) as usize % self.parts.len();
-            self.parts[place] = Part::default();
+        let elapsed = number.saturating_sub(self.newest).min(self.buckets.len() as u64);
+        for back in 0..elapsed {
+            let index = (number - back) as usize % self.buckets.len();
+            self.buckets[index] = Bucket::default();
         }
         self.newest = self.newest.max(number);
     }
 
-    /// The part that is being counted.
-    fn current(&mut self) -> &mut Part {
-        let place = self.newest as usize % self.parts.len();
-        &mut self.parts[place]
+    /// The current bucket.
+    fn current(&mut self) -> &mut Bucket {
+        let index = self.newest as usize % self.buckets.len();
+        &mut self.buckets[index]
     }
 
-    /// Requests within less than a span, and what was paid within at least one.
+    /// Requests over slightly less than a window, and retries spent over at least one.
     fn sums(&self) -> (f64, f64) {
-        let oldest = (self.newest + 1) as usize % self.parts.len();
-        let requests: u32 = self.parts.iter().map(|part| part.requests).sum();
-        let paid = self.parts.iter().map(|part| part.paid).sum();
-        (f64::from(requests - self.parts[oldest].requests), paid)
+        let oldest = (self.newest + 1) as usize % self.buckets.len();
+        let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
+        let spent = self.buckets.iter().map(|bucket| bucket.spent).sum();
+        (f64::from(requests - self.buckets[oldest].requests), spent)
     }
 }
 
-/// Repeats earned by requests, for each service.
+/// Retry budgets, one for each service.
 ///
-/// Every node weighs the repeats that it has sent in the last ten seconds against its own requests of the
-/// same time only, so the sum over all nodes keeps to the share without any message between them. What
-/// calm seconds earn is there when a service begins to fail, for all of these ten seconds.
+/// Each node compares the retries it has sent in the last ten seconds with its own requests in that
+/// time, so the total over all nodes keeps to the share without coordination. Budget earned while a
+/// service was healthy is available for ten seconds after it begins to fail.
 ///
-/// A call that is made by a repeated run is a repeat at the service it goes to, although nobody chose to
-/// repeat it; it is paid from the same budget, so that a failure deep down, whose repeat costs one run, may
-/// use the whole of it while nothing is repeated above.
+/// A call made by a retried request counts as a retry at its service too, although it was not
+/// retried itself. It is charged to the same budget, so that a failure deep in the call tree, where
+/// a retry costs one run, can use the whole budget if nothing above is retried.
 #[derive(Debug)]
 pub struct RetryBudgets {
     share: f64,
     slack: f64,
     started: Instant,
-    recent: RefCell<HashMap<String, Recent>>,
+    windows: RefCell<HashMap<String, RetryWindow>>,
 }
 
 impl RetryBudgets {
-    /// Budgets that keep to the given bounds.
+    /// Creates budgets with the given limits.
     pub fn new(settings: &RetrySection) -> Self {
         Self {
-            share: settings.share * USED_SHARE,
-            slack: f64::from(settings.slack) * USED_SLACK,
+            share: settings.share * SHARE_FRACTION,
+            slack: f64::from(settings.slack) * SLACK_FRACTION,
             started: Instant::now(),
-            recent: RefCell::default(),
+            windows: RefCell::default(),
         }
     }
 
-    /// Counts the first arrival of a request.
+    /// Counts the first attempt of a request.
     pub fn earn(&self, service: &str) {
-        self.with_recent(service, |recent| recent.current().requests += 1);
+        self.with_window(service, |window| window.current().requests += 1);
     }
 
-    /// Counts the first arrival of a request that a repeated run makes.
+    /// Charges the first attempt of a request that was made by a retry.
     pub fn owe(&self, service: &str) {
-        self.with_recent(service, |recent| recent.current().paid += 1.0);
+        self.with_window(service, |window| window.current().spent += 1.0);
     }
 
-    /// How many repeats may be sent to a service for the most important rank, the slack apart; less than
-    /// none where more were owed.
+    /// Retries available to the most important rank, without the slack; negative if more were
+    /// charged than earned.
     pub fn left(&self, service: &str) -> f64 {
-        self.with_recent(service, |recent| {
-            let (requests, paid) = recent.sums();
-            requests * self.share - paid
+        self.with_window(service, |window| {
+            let (requests, spent) = window.sums();
+            requests * self.share - spent
         })
     }
 
-    /// Takes one repeat for a request of `rank`, if there is one. `nodes` is the number of nodes that share
-    /// the slack.
+    /// Takes one retry for a request of `rank` if the budget allows it. `nodes` is the number of
+    /// nodes that share the slack.
     ///
-    /// Where there are many nodes, the part of each in the slack is less than one repeat. Where no whole one
-    /// is left, that part is staked on one, which is had with that probability and paid for all the same.
+    /// With many nodes, each one's part of the slack is less than one retry. If no whole retry is
+    /// left, the node draws one with that probability, and is charged that part either way.
     pub fn try_take(&self, service: &str, rank: u8, nodes: usize, rng: &mut impl Rng) -> bool {
-        let of_rank = (1.0 - LEFT_PER_RANK * f64::from(rank)).max(LEFT_MIN);
+        let rank_fraction = (1.0 - RESERVED_PER_RANK * f64::from(rank)).max(RANK_FRACTION_MIN);
         let slack = self.slack / nodes.max(1) as f64;
-        self.with_recent(service, |recent| {
-            let (requests, paid) = recent.sums();
-            let left = (requests * self.share + slack) * of_rank - paid;
-            let stake = if left >= 1.0 { 1.0 } else { slack.min(1.0) };
-            if left < stake {
+        self.with_window(service, |window| {
+            let (requests, spent) = window.sums();
+            let remaining = (requests * self.share + slack) * rank_fraction - spent;
+            let charge = if remaining >= 1.0 { 1.0 } else { slack.min(1.0) };
+            if remaining < charge {
                 return false;
             }
-            recent.current().paid += stake;
-            rng.random::<f64>() < stake
+            window.current().spent += charge;
+            rng.random::<f64>() < charge
         })
     }
 
-    /// Hands to `take` what was sent to a service of late.
-    fn with_recent<T>(&self, service: &str, take: impl FnOnce(&mut Recent) -> T) -> T {
-        let part = SPAN / PARTS as u32;
-        let number = (self.started.elapsed().as_micros() / part.as_micros()) as u64;
-        let mut recent = self.recent.borrow_mut();
-        if let Some(found) = recent.get_mut(service) {
-            found.advance(number);
-            return take(found);
+    /// Calls `take` with the current window of a service.
+    fn with_window<T>(&self, service: &str, take: impl FnOnce(&mut RetryWindow) -> T) -> T {
+        let length = WINDOW / BUCKETS as u32;
+        let number = (self.started.elapsed().as_micros() / length.as_micros()) as u64;
+        let mut windows = self.windows.borrow_mut();
+        if let Some(window) = windows.get_mut(service) {
+            window.advance(number);
+            return take(window);
         }
-        take(recent.entry(service.to_owned()).or_insert_with(|| Recent::new(number)))
+        take(windows.entry(service.to_owned()).or_insert_with(|| RetryWindow::new(number)))
     }
 }
--- a/src/mesh/callers.rs
+++ b/src/mesh/callers.rs
@@ -1,4 +1,4 @@
-//! The nodes that call this one, and what they are told of its target.
+//! The nodes that send calls to this one, and the status and load updates sent to them.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,60 +11,61 @@
 use super::overload::Policy;
 use super::report::{INTERVAL_BUSY, LoadReport};
 
-/// The least pause between two reports of the whole state, unless the target comes or goes.
+/// Minimum interval between two full status updates, unless the target appears or disappears.
 const STATUS_PAUSE: Duration = INTERVAL_BUSY;
 
-/// A link on which another node calls this one.
+/// An inbound link on which another node sends calls.
 #[derive(Debug)]
-struct Caller {
+struct InboundLink {
     link: Rc<Link>,
     /// Whether that node is in the same failure domain.
     is_near: bool,
 }
 
-/// The nodes that call this one.
+/// The nodes that send calls to this one.
 #[derive(Debug)]
 pub struct Callers {
     failure_domain: String,
     policy: Policy,
-    links: RefCell<Vec<Caller>>,
-    /// When they were told last of the whole state of the node.
-    told_status_at: Cell<Option<Instant>>,
-    /// What they were told, apart from the target's work.
-    told_status: RefCell<Status>,
-    /// What those of the own failure domain were told of the target's work.
-    near_report: Cell<LoadReport>,
-    /// What all others were told of it.
-    far_report: Cell<LoadReport>,
+    links: RefCell<Vec<InboundLink>>,
+    /// When the full status was last sent.
+    status_sent_at: Cell<Option<Instant>>,
+    /// The last full status sent; its load may be outdated.
+    sent_status: RefCell<Status>,
+    /// The last load sent to nodes of the same failure domain.
+    local_report: Cell<LoadReport>,
+    /// The last load sent to all other nodes.
+    remote_report: Cell<LoadReport>,
 }
 
 impl Callers {
-    /// Nobody yet, for a node in `failure_domain`.
+    /// An empty set, for a node in `failure_domain`.
     pub fn new(failure_domain: &str, policy: Policy) -> Self {
         Self {
             failure_domain: failure_domain.to_owned(),
             policy,
             links: RefCell::default(),
-            told_status_at: Cell::default(),
-            told_status: RefCell::default(),
-            near_report: Cell::default(),
-            far_report: Cell::default(),
+            status_sent_at: Cell::default(),
+            sent_status: RefCell::default(),
+            local_report: Cell::default(),
+            remote_report: Cell::default(),
         }
     }
 
-    /// Adds a link on which a node of `failure_domain` calls this one.
+    /// Adds a link on which a node of `failure_domain` sends calls.
     pub fn add(&self, link: &Rc<Link>, failure_domain: &str) {
         let is_near = failure_domain == self.failure_domain;
-        self.links.borrow_mut().push(Caller { link: Rc::clone(link), is_near });
+        self.links.borrow_mut().push(InboundLink { link: Rc::clone(link), is_near });
     }
 
     /// Removes a link.
     pub fn remove(&self, link: &Rc<Link>) {
-        self.links.borrow_mut().retain(|known| !Rc::ptr_eq(&known.link, link));
+        self.links.borrow_mut().retain(|inbound| !Rc::ptr_eq(&inbound.link, link));
     }
 
-    /// Tells all of a state that has changed, and of the target's work where that is due. `near` and `all`
-    /// are the numbers of targets of the service in the own failure domain and altogether.
+    /// Sends the full status if it has changed, and otherwise the target's load where an update is
+    /// due. `near` and `all` are the numbers of targets of the service in this failure domain and
+    /// in total.
     pub fn tell_what_is_due(&self, status: &Status, near: usize, all: usize) {
         if self.is_status_due(status) {
             self.broadcast_status(status);
@@ -73,70 +74,70 @@
         let now = Instant::now();
         for (is_near, targets) in [(true, near), (false, all)] {
             if self.report(is_near).get().is_due(status.load, targets, now) {
-                self.tell_load(status, is_near);
+                self.send_load(status, is_near);
             }
         }
     }
 
     fn is_status_due(&self, status: &Status) -> bool {
-        let told = self.told_status.borrow();
-        if status.roots.len() != told.roots.len() || status.ready != told.ready {
+        let sent = self.sent_status.borrow();
+        if status.roots.len() != sent.roots.len() || status.ready != sent.ready {
             return true;
         }
-        let last = self.told_status_at.get();
+        let last = self.status_sent_at.get();
         let is_due = last.is_none_or(|last| last.elapsed() >= STATUS_PAUSE);
-        is_due && !status.is_same_but_for_work(&told)
+        is_due && !status.eq_except_work(&sent)
     }
 
-    /// Tells all the whole state of the node.
+    /// Sends the full status to all nodes.
     pub fn broadcast_status(&self, status: &Status) {
-        self.told_status_at.set(Some(Instant::now()));
-        self.told_status.replace(status.clone());
+        self.status_sent_at.set(Some(Instant::now()));
+        self.sent_status.replace(status.clone());
         let frame = Frame::Status(status.clone());
         for is_near in [true, false] {
-            self.note_report(status, is_near);
+            self.record_report(status, is_near);
             self.send(&frame, is_near);
         }
     }
 
-    /// Tells those of the own failure domain, or all others, what the target has to do.
-    fn tell_load(&self, status: &Status, is_near: bool) {
-        self.note_report(status, is_near);
+    /// Sends the target's load to the nodes of the same failure domain, or to all others.
+    fn send_load(&self, status: &Status, is_near: bool) {
+        self.record_report(status, is_near);
         self.send(&self.load_frame(status), is_near);
     }
 
-    /// The frame that tells what the target has to do.
+    /// The frame that carries the target's load.
     pub fn load_frame(&self, status: &Status) -> Frame {
-        // The levels go by how much of each route a target runs, which only a whole status tells.
+        // `Levels` needs the running requests of each route, which only the full status contains.
         match self.policy {
             Policy::Levels => Frame::Status(status.clone()),
             Policy::Open | Policy::Windows => Frame::Load(status.load),
         }
     }
 
-    /// Tells all something that does not concern the target's work.
-    pub fn tell_all(&self, frame: &Frame) {
-        for caller in self.links.borrow().iter() {
-            caller.link.send(frame);
+    /// Sends a frame to all nodes.
+    pub fn broadcast(&self, frame: &Frame) {
+        for inbound in self.links.borrow().iter() {
+            inbound.link.send(frame);
         }
     }
 
     fn send(&self, frame: &Frame, is_near: bool) {
-        for caller in self.links.borrow().iter() {
-            if caller.is_near == is_near {
-                caller.link.send(frame);
+        for inbound in self.links.borrow().iter() {
+            if inbound.is_near == is_near {
+                inbound.link.send(frame);
             }
         }
     }
 
-    /// What those of the own failure domain, or all others, were told of the target's work.
+    /// The last load sent to nodes of the same failure domain, or to all others.
     fn report(&self, is_near: bool) -> &Cell<LoadReport> {
-        if is_near { &self.near_report } else { &self.far_report }
+        if is_near { &self.local_report } else { &self.remote_report }
     }
 
-    fn note_report(&self, status: &Status, is_near: bool) {
-        let mut noted = self.report(is_near).get();
-        noted.note(status.load, Instant::now());
-        self.report(is_near).set(noted);
+    fn record_report(&self, status: &Status, is_near: bool) {
+        let mut report = self.report(is_near).get();
+        report.note(status.load, Instant::now());
+        self.report(is_near).set(report);
     }
 }
--- a/src/mesh/codec.rs
+++ b/src/mesh/codec.rs
@@ -1,7 +1,8 @@
-//! How frames are written to a link and read from it.
+//! Encodes and decodes the frames on a link.
 //!
-//! A frame is a length of four bytes and that many bytes of postcard. In calls and answers, what
-//! both ends know already is a number (`words`): a call takes a fifth of the bytes that its text has.
+//! A frame is a length prefix of four bytes, followed by postcard. In calls and answers, strings
+//! that both ends already know are replaced by numbers (see `words`), which cuts a call to a fifth
+//! of its plain size.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
@@ -10,36 +11,36 @@
 use super::frame::{Call, CallEnd, Frame, Header, Load, TargetAnswer};
 use super::words::{DecoderTable, EncoderTable, Word};
 
-/// The bytes of a frame's length.
-const LENGTH_BYTES: usize = 4;
-/// The longest frame that is taken, in bytes: the longest body a caller may send, and its head.
+/// Size of the length prefix.
+const LENGTH_PREFIX_BYTES: usize = 4;
+/// Longest accepted frame: the longest body a caller may send, with its headers.
 pub const FRAME_MAX_BYTES: usize = 80 * 1024 * 1024;
-/// The name under which the beginnings of paths are kept, which no header has.
-const FOLDER: &[u8] = b"/";
-/// The name under which teams are kept, which no header has.
-const TEAM: &[u8] = b"@";
+/// Dictionary name for directory parts of paths; no header has this name.
+const FOLDER_NAME: &[u8] = b"/";
+/// Dictionary name for teams; no header has this name.
+const TEAM_NAME: &[u8] = b"@";
 
-/// Why bytes are no frame.
+/// Why a frame could not be decoded.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// The frame, or a word to be kept, is longer than is allowed.
-    #[error("a frame or a word of {0} bytes")]
+    /// The frame, or a string for the dictionary, exceeds the size limit.
+    #[error("frame or dictionary string too long: {0} bytes")]
     TooLong(usize),
-    /// The frame does not decode.
-    #[error("a malformed frame")]
+    /// The frame is not valid postcard.
+    #[error("malformed frame")]
     Malformed(#[from] postcard::Error),
-    /// A number that stands for no word.
-    #[error("no word {0} is known")]
+    /// The number refers to no dictionary entry.
+    #[error("unknown dictionary number {0}")]
     UnknownWord(u8),
-    /// A name that is no text.
-    #[error("a name that is no text")]
+    /// A name is not valid UTF-8.
+    #[error("name is not valid UTF-8")]
     NotText,
 }
 
-/// A header as it is sent: its name and its value.
+/// Name and value of a header, as encoded.
 type PackedHeader<'a> = (Word<'a>, Word<'a>);
 
-/// A frame as it is sent.
+/// A frame, as encoded.
 #[derive(Serialize, Deserialize)]
 enum PackedFrame<'a> {
     #[serde(borrow)]
@@ -60,7 +61,7 @@
     root: Word<'a>,
     team: Word<'a>,
     method: Word<'a>,
-    /// The path up to its last slash.
+    /// The path up to and including its last slash.
     folder: Word<'a>,
     /// The rest of the path, with the query.
     rest: &'a str,
@@ -79,7 +80,7 @@
     body: &'a [u8],
 }
 
-/// Writes the frames of one direction of a link.
+/// Encodes the frames of one direction of a link.
 #[derive(Debug, Default)]
 pub struct Encoder {
     table: EncoderTable,
@@ -95,12 +96,12 @@
             Frame::Answer { id, end: CallEnd::Answered(answer), load } => {
                 write(&PackedFrame::Answer(self.pack_answer(*id, *load, answer)), out)
             }
-            // The variant `Other` by its number, as a whole frame need not be copied for it.
-            frame => write(&(OTHER, frame), out),
+            // Writes the index of `Other` itself, so that the frame need not be cloned.
+            frame => write(&(OTHER_VARIANT, frame), out),
         };
         debug_assert!(written.is_ok(), "writing to memory cannot fail");
-        let length = (out.len() - start - LENGTH_BYTES) as u32;
-        out[start..start + LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
+        let length = (out.len() - start - LENGTH_PREFIX_BYTES) as u32;
+        out[start..start + LENGTH_PREFIX_BYTES].copy_from_slice(&length.to_be_bytes());
     }
 
     fn pack_call<'a>(&mut self, call: &'a Call) -> PackedCall<'a> {
@@ -113,9 +114,9 @@
             attempt_id: &call.attempt_id,
             service: self.table.encode(call.service.as_bytes()),
             root: self.table.encode(call.root.as_bytes()),
-            team: self.table.encode_value(TEAM, call.team.as_bytes()),
+            team: self.table.encode_value(TEAM_NAME, call.team.as_bytes()),
             method: self.table.encode(call.method.as_bytes()),
-            folder: self.table.encode_value(FOLDER, folder.as_bytes()),
+            folder: self.table.encode_value(FOLDER_NAME, folder.as_bytes()),
             rest,
             headers: self.pack_headers(&call.headers),
             body: &call.body,
@@ -148,44 +149,45 @@
     }
 }
 
-/// The number of `PackedFrame::Other`.
-const OTHER: u8 = 2;
+/// Index of `PackedFrame::Other`.
+const OTHER_VARIANT: u8 = 2;
 
 fn write(value: &impl Serialize, out: &mut BytesMut) -> Result<(), postcard::Error> {
     postcard::to_io(value, out.writer()).map(|_| ())
 }
 
-/// Reads the frames of one direction of a link.
+/// Decodes the frames of one direction of a link.
 #[derive(Debug, Default)]
 pub struct Decoder {
     table: DecoderTable,
 }
 
 impl Decoder {
-    /// Takes the first whole frame out of `buffer`, where there is one.
+    /// Removes the first complete frame from `buffer` and returns it, if there is one.
     pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
-        if buffer.len() < LENGTH_BYTES {
+        if buffer.len() < LENGTH_PREFIX_BYTES {
             return Ok(None);
         }
         let length = u32::from_be_bytes([buffer[0], buffer[1], buffer[2], buffer[3]]) as usize;
         if length > FRAME_MAX_BYTES {
             return Err(FrameError::TooLong(length));
         }
-        if buffer.len() < LENGTH_BYTES + length {
-            buffer.reserve(LENGTH_BYTES + length - buffer.len());
+        if buffer.len() < LENGTH_PREFIX_BYTES + length {
+            buffer.reserve(LENGTH_PREFIX_BYTES + length - buffer.len());
             return Ok(None);
         }
-        let packed = postcard::from_bytes(&buffer[LENGTH_BYTES..LENGTH_BYTES + length])?;
+        let packed =
+            postcard::from_bytes(&buffer[LENGTH_PREFIX_BYTES..LENGTH_PREFIX_BYTES + length])?;
         let frame = match packed {
             PackedFrame::Call(call) => Frame::Call(self.unpack_call(&call)?),
             PackedFrame::Answer(answer) => self.unpack_answer(&answer)?,
             PackedFrame::Other(frame) => frame,
         };
-        buffer.advance(LENGTH_BYTES + length);
+        buffer.advance(LENGTH_PREFIX_BYTES + length);
         Ok(Some(frame))
     }
 
-    /// Words are resolved in the order in which the other end packed them.
+    /// Words must be resolved in the order in which the encoder packed them.
     fn unpack_call(&mut self, packed: &PackedCall<'_>) -> Result<Call, FrameError> {
         let service = self.table.decode_text(&packed.service)?;
         let root = self.table.decode_text(&packed.root)?;
--- a/src/mesh/crash.rs
+++ b/src/mesh/crash.rs
@@ -1,4 +1,4 @@
-//! Whether a target that broke off what it was running has ended.
+//! Finds out whether a target that dropped its connections has crashed.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -15,67 +15,68 @@
 use super::node::Node;
 use super::target::Instance;
 
-/// How long after the first request that was broken off it is looked whether the target is there: all that it
-/// ran is noticed as broken off by then, also by a busy node.
-const LOOK_AFTER: Duration = Duration::from_millis(30);
+/// Delay between the first interrupted request and the check whether the target still runs. By then
+/// even a busy node has noticed all requests that were interrupted.
+const CRASH_CHECK_DELAY: Duration = Duration::from_millis(30);
 
-/// How long news of an end takes to all nodes at most, but for lost packets and busy nodes.
-const NEWS_TRAVEL: Duration = Duration::from_millis(20);
+/// Time within which news of a crash reaches all nodes, unless packets are lost or nodes are busy.
+const CRASH_NEWS_DELAY: Duration = Duration::from_millis(20);
 
-/// A request that the target was running when it broke off.
+/// A request that the target was running when its connection broke.
 #[derive(Clone, Debug)]
-pub struct Broken {
-    /// Which request it is.
+pub struct InterruptedRequest {
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
     /// Its path, without the query.
     pub path: String,
 }
 
-/// The requests that were broken off while it is not known whether the target has ended.
+/// Interrupted requests for which it is not yet known whether the target has crashed.
 #[derive(Debug, Default)]
 pub struct BrokenRequests {
-    requests: RefCell<Vec<Broken>>,
-    is_looking: Cell<bool>,
-    /// Wakes whoever waits until it is known.
-    looked: Notify,
+    requests: RefCell<Vec<InterruptedRequest>>,
+    is_checking: Cell<bool>,
+    /// Notified when the check has finished.
+    checked: Notify,
 }
 
-/// Takes in that the target broke off a call. If the target no longer takes connections, it has ended, and what
-/// it ran may be the cause; else only this answer was lost.
+/// Records that the target broke off a call. If the target then refuses connections, it has
+/// crashed, and one of the requests it was running may be the cause; otherwise only this answer was
+/// lost.
 pub fn note_broken(node: &Rc<Node>, instance: &Instance, call: &Call) {
     let path = call.path.split('?').next().unwrap_or_default().to_owned();
     let broken = &node.target.broken;
-    broken.requests.borrow_mut().push(Broken { fingerprint: call.fingerprint(), path });
-    if !broken.is_looking.replace(true) {
-        spawn_local(look(Rc::clone(node), instance.clone()));
+    broken.requests.borrow_mut().push(InterruptedRequest { fingerprint: call.fingerprint(), path });
+    if !broken.is_checking.replace(true) {
+        spawn_local(check_target(Rc::clone(node), instance.clone()));
     }
 }
 
-/// Waits, where the target no longer takes connections, until that has been told to all nodes, and what others
-/// tell of the same moment has come: whoever repeats a call then knows which targets have ended.
+/// If the target refuses connections, waits until all nodes have been informed and crash reports of
+/// other nodes from the same moment have arrived, so that a retry takes them into account.
 pub async fn until_known(node: &Node) {
-    let looked = node.target.broken.looked.notified();
+    let checked = node.target.broken.checked.notified();
     match Connection::open(node.target.address).await {
         Ok(connection) => node.target.keep(connection),
         Err(error) if error.is_refused() => {
-            looked.await;
-            sleep(NEWS_TRAVEL).await;
+            checked.await;
+            sleep(CRASH_NEWS_DELAY).await;
         }
         Err(_) => {}
     }
 }
 
-/// Finds out whether the target has ended.
-async fn look(node: Rc<Node>, instance: Instance) {
-    sleep(LOOK_AFTER).await;
+/// Checks whether the target has crashed.
+async fn check_target(node: Rc<Node>, instance: Instance) {
+    sleep(CRASH_CHECK_DELAY).await;
     let opened = Connection::open(node.target.address).await;
     let broken = &node.target.broken;
-    broken.is_looking.set(false);
+    broken.is_checking.set(false);
     let requests = broken.requests.take();
     match opened {
         Ok(connection) => node.target.keep(connection),
         Err(error) if error.is_refused() => blame::note_crash(&node, &instance, &requests),
         Err(_) => {}
     }
-    broken.looked.notify_waiters();
+    broken.checked.notify_waiters();
 }
--- a/src/mesh/directory.rs
+++ b/src/mesh/directory.rs
@@ -1,4 +1,4 @@
-//! The other nodes, and the choice of the one that gets a call.
+//! Tracks the other nodes and picks the destination of each call.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -11,53 +11,55 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use super::failing::{FailureShare, worth_of};
+use super::failing::{FailureShare, capacity_weight};
 use super::frame::{Hello, Load, Neighbour, Status};
 use super::link::Link;
 use super::overload::ServiceView;
 use super::teams::quota::Fleet;
 
-/// How busy a target in the own failure domain may be before one elsewhere is taken, as a share of
-/// what it can run. Bytes between failure domains cost; a queue costs more.
-const NEAR_UNTIL: f64 = 0.95;
-/// What being in another failure domain counts, on the scale of that share.
-const FAR_COST: f64 = 0.35;
-/// How much busier a target counts that has started only lately.
+/// Utilization up to which a target in the same failure domain is preferred. Traffic between
+/// failure domains is expensive, but queueing costs more.
+const LOCAL_UTILIZATION_MAX: f64 = 0.95;
+/// Cost of being in another failure domain, in units of utilization.
+const CROSS_DOMAIN_COST: f64 = 0.35;
+/// Factor on the utilization of a target that has just started.
 const COLD_FACTOR: f64 = 2.0;
-/// How much busier a node counts of which nothing was heard for `SUSPECT_AFTER`.
+/// Cost, in units of utilization, of a node that is being avoided, or that has been silent for
+/// `SUSPECT_AFTER` with pending calls.
 const SUSPECT_COST: f64 = 3.0;
-/// After this silence on a link that has calls waiting, others are preferred.
+/// Silence on a link with pending calls after which other nodes are preferred.
 const SUSPECT_AFTER: Duration = Duration::from_millis(900);
-/// Ties are broken by chance within this share, so that senders do not all pick the same target.
-const TIE_SPREAD: f64 = 0.06;
-/// For how long a node counts that was read of and has not been reached: rows of nodes that are gone stay.
-const NEW_COUNTS_FOR: Duration = Duration::from_secs(5);
-/// How long a target is avoided after it failed a call, at least.
+/// Random spread added to costs, so that senders don't all pick the same target.
+const COST_JITTER: f64 = 0.06;
+/// How long a node that was never reached counts as part of the fleet: membership rows of departed
+/// nodes are not removed.
+const UNREACHED_RETENTION: Duration = Duration::from_secs(5);
+/// Minimum time for which a target is avoided after it failed a call.
 const AVOID_AFTER_FAILURE: Duration = Duration::from_millis(400);
 
 /// Another node.
 #[derive(Debug)]
 pub struct Peer {
-    /// Where it listens for other nodes.
+    /// The address on which it accepts links from other nodes.
     pub address: SocketAddr,
     /// Its failure domain.
     pub failure_domain: RefCell<String>,
-    /// The connection that calls go over.
+    /// The connection that calls are sent over.
     pub link: RefCell<Option<Rc<Link>>>,
-    /// What it said last about itself.
+    /// Its last reported status.
     pub status: RefCell<Status>,
     /// Calls that wait for its answer.
     pub in_flight: Cell<u32>,
-    in_flight_at_report: Cell<u32>,
+    in_flight_at_update: Cell<u32>,
     avoided_until: Cell<Option<Instant>>,
-    /// Wakes whoever tries to reach it, as it has just been heard.
+    /// Notified when it has connected to this node, to wake the task that tries to reach it.
     pub greeted: Notify,
-    /// How many of its answers were failures of late.
+    /// Recent share of failures among its answers.
     pub failing: FailureShare,
     /// Whether it was ever linked with this node.
     pub was_linked: Cell<bool>,
-    /// When this node first heard of it.
-    met: Instant,
+    /// When this node first learned of it.
+    discovered_at: Instant,
 }
 
 impl Peer {
@@ -68,27 +70,27 @@
             link: RefCell::default(),
             status: RefCell::default(),
             in_flight: Cell::default(),
-            in_flight_at_report: Cell::default(),
+            in_flight_at_update: Cell::default(),
             avoided_until: Cell::default(),
             greeted: Notify::new(),
             failing: FailureShare::default(),
             was_linked: Cell::default(),
-            met: Instant::now(),
+            discovered_at: Instant::now(),
         }
     }
 
-    /// The connection that calls go over, if it is open.
+    /// The connection that calls are sent over, if it is open.
     pub fn open_link(&self) -> Option<Rc<Link>> {
         self.link.borrow().as_ref().filter(|link| link.is_open()).cloned()
     }
 
-    /// Takes in what the target has to do.
+    /// Updates the load of its target.
     pub fn take_load(&self, load: Load) {
         self.status.borrow_mut().load = load;
-        self.in_flight_at_report.set(self.in_flight.get());
+        self.in_flight_at_update.set(self.in_flight.get());
     }
 
-    /// Takes in its state.
+    /// Updates its status.
     pub fn take_status(&self, status: Status) {
         let load = status.load;
         if self.status.borrow().incarnation != status.incarnation {
@@ -98,52 +100,52 @@
         self.take_load(load);
     }
 
-    /// Gives it no calls for a moment.
+    /// Avoids the node for `AVOID_AFTER_FAILURE`.
     pub fn avoid(&self) {
         self.avoided_until.set(Some(Instant::now() + AVOID_AFTER_FAILURE));
     }
 
-    /// How busy its target is, as a share of what it can run.
-    fn busy(&self, now: Instant) -> f64 {
+    /// Cost of sending it a call: the utilization of its target, with penalties for failures and
+    /// silence.
+    fn cost(&self, now: Instant) -> f64 {
         let status = self.status.borrow();
-        let sent_since = self.in_flight.get().saturating_sub(self.in_flight_at_report.get());
-        let mut busy = busy_share(status.load, sent_since, status.cold);
+        let sent_since = self.in_flight.get().saturating_sub(self.in_flight_at_update.get());
+        let mut utilization = busy_share(status.load, sent_since, status.cold);
         if self.avoided_until.get().is_some_and(|until| now < until) {
-            busy += SUSPECT_COST;
+            utilization += SUSPECT_COST;
         }
         let link = self.link.borrow();
-        let silent = link.as_ref().is_some_and(|link| now - link.heard() > SUSPECT_AFTER);
-        if silent && self.in_flight.get() > 0 {
-            busy += SUSPECT_COST;
+        let is_silent = link.as_ref().is_some_and(|link| now - link.heard() > SUSPECT_AFTER);
+        if is_silent && self.in_flight.get() > 0 {
+            utilization += SUSPECT_COST;
         }
-        busy + self.failing.cost(now)
+        utilization + self.failing.cost(now)
     }
 }
 
-/// How busy a target is, as a share of what it can run.
+/// Utilization of a target, as a fraction of its limit; above 1 if requests are queued.
 pub fn busy_share(load: Load, sent_since: u32, is_cold: bool) -> f64 {
     let work = f64::from(load.running + load.waiting + sent_since);
-    let busy = (work + 1.0) / f64::from(load.limit.max(1));
-    if is_cold { busy * COLD_FACTOR } else { busy }
+    let utilization = (work + 1.0) / f64::from(load.limit.max(1));
+    if is_cold { utilization * COLD_FACTOR } else { utilization }
 }
 
-/// Where a call goes.
+/// Where a call is sent.
 #[derive(Clone, Debug)]
 pub enum Destination {
-    /// The target beside this node.
+    /// The local target.
     Own,
-    /// The target beside another node.
+    /// The target of another node.
     Peer(Rc<Peer>),
 }
 
-/// What is asked of the directory.
+/// What a destination is picked for.
 pub struct Wanted<'a> {
     /// The service.
     pub service: &'a str,
-    /// How busy the target beside this node is, as a share of what it can run, if it may take the
-    /// call.
+    /// Utilization of the local target, if that may take the call.
     pub own_busy: Option<f64>,
-    /// Nodes that were tried already.
+    /// Nodes that were already tried.
     pub tried: &'a [SocketAddr],
 }
 
@@ -156,7 +158,7 @@
 }
 
 impl Directory {
-    /// A directory without any other node.
+    /// An empty directory.
     pub fn new(own_address: SocketAddr, own_failure_domain: &str) -> Self {
         Self {
             own_address,
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Adds a node. Gives it back if it was not known.
+    /// Adds a node, and returns it if it was unknown.
     pub fn add(&self, address: SocketAddr, failure_domain: &str) -> Option<Rc<Peer>> {
         if address == self.own_address {
             return None;
@@ -187,25 +189,26 @@
         self.peers.borrow().get(&address).cloned()
     }
 
-    /// Forgets the node at `address`.
+    /// Removes the node at `address`.
     pub fn remove(&self, address: SocketAddr) {
         self.peers.borrow_mut().remove(&address);
     }
 
-    /// Whether another node is in the own failure domain.
+    /// Whether another node is in the same failure domain.
     fn is_near(&self, peer: &Peer) -> bool {
         *peer.failure_domain.borrow() == self.own_failure_domain
     }
 
-    /// How many other nodes are connected.
+    /// Number of other nodes with an open link.
     pub fn linked(&self) -> usize {
         self.peers.borrow().values().filter(|peer| peer.open_link().is_some()).count()
     }
 
-    /// The nodes among which the owners of quotas are found.
+    /// The nodes among which the ownership of quotas is divided.
     ///
-    /// A node that stops is none of them, nor one that was read of and never reached within `NEW_COUNTS_FOR`.
-    /// One that was linked and is not any more may be behind a cut: it counts as known until it is forgotten.
+    /// Excludes stopping nodes and nodes that were not reached within `UNREACHED_RETENTION` of
+    /// being discovered. A node whose link was lost may be on the other side of a network
+    /// partition, so it counts as known until it is removed.
     pub fn fleet(&self, is_stopping: bool) -> Fleet {
         let mut fleet = Fleet { members: Vec::new(), known: 0 };
         if !is_stopping {
@@ -220,15 +223,16 @@
             if is_linked {
                 fleet.members.push(peer.address);
             }
-            let may_be_there = peer.was_linked.get() || peer.met.elapsed() < NEW_COUNTS_FOR;
-            fleet.known += usize::from(is_linked || may_be_there);
+            let may_be_alive =
+                peer.was_linked.get() || peer.discovered_at.elapsed() < UNREACHED_RETENTION;
+            fleet.known += usize::from(is_linked || may_be_alive);
         }
         fleet.members.sort_unstable();
         fleet
     }
 
-    /// How many targets of `service` are ready beside other nodes: in the own failure domain, and in
-    /// all.
+    /// Number of ready targets of `service` on other nodes: in the same failure domain, and in
+    /// total.
     pub fn siblings(&self, service: &str) -> (usize, usize) {
         let (mut near, mut all) = (0, 0);
         for peer in self.peers.borrow().values() {
@@ -242,8 +246,8 @@
         (near, all)
     }
 
-    /// How many linked nodes of the own failure domain come before this one in the order of addresses:
-    /// those that reach the store, and all.
+    /// Number of linked nodes of the same failure domain with a lower address than this one: those
+    /// that reach the store, and all.
     pub fn near_before(&self) -> (usize, usize) {
         let (mut with_store, mut all) = (0, 0);
         for peer in self.peers.borrow().values() {
@@ -257,7 +261,7 @@
         (with_store, all)
     }
 
-    /// The link to a node that has told of a newer configuration than `version`: any of them, as the one
+    /// The link to a random node with a newer configuration than `version`. Random, as the node
     /// that was asked before may not answer.
     pub fn with_newer_site(&self, version: u64, rng: &mut impl Rng) -> Option<Rc<Link>> {
         let peers = self.peers.borrow();
@@ -265,32 +269,31 @@
         newer.filter_map(|peer| peer.open_link()).choose(rng)
     }
 
-    /// All other nodes that are connected, as they are told of.
+    /// All other nodes with an open link, as reported to peers.
     pub fn neighbours(&self) -> Vec<Neighbour> {
         let peers = self.peers.borrow();
         let connected = peers.values().filter(|peer| peer.open_link().is_some());
-        let tell = |peer: &Rc<Peer>| Neighbour {
+        let describe = |peer: &Rc<Peer>| Neighbour {
             address: peer.address,
             failure_domain: peer.failure_domain.borrow().clone(),
         };
-        connected.map(tell).collect()
+        connected.map(describe).collect()
     }
 
-    /// Takes in what a node says of itself over a link that it was called on.
+    /// Updates a node from the hello that it sent on an inbound link.
     pub fn take_hello(&self, hello: &Hello) {
         let Some(peer) = self.get(hello.address) else { return };
         hello.failure_domain.clone_into(&mut peer.failure_domain.borrow_mut());
         peer.take_status(hello.status.clone());
     }
 
-    /// The destination of a call: the least busy target, near ones first.
-    ///
-    /// Nodes that were tried already are not taken again.
+    /// Picks the least utilized target, preferring the same failure domain. Skips nodes that were
+    /// already tried.
     pub fn pick(&self, wanted: &Wanted<'_>, rng: &mut impl Rng) -> Option<Destination> {
         let now = Instant::now();
-        let mut best: Option<(f64, Destination)> = None;
-        if let Some(busy) = wanted.own_busy {
-            best = Some((busy, Destination::Own));
+        let mut cheapest: Option<(f64, Destination)> = None;
+        if let Some(utilization) = wanted.own_busy {
+            cheapest = Some((utilization, Destination::Own));
         }
         for peer in self.peers.borrow().values() {
             if wanted.tried.contains(&peer.address) || peer.open_link().is_none() {
@@ -302,19 +305,19 @@
                     continue;
                 }
             }
-            let mut cost = peer.busy(now);
+            let mut cost = peer.cost(now);
             if !self.is_near(peer) {
-                cost = cost.max(NEAR_UNTIL - FAR_COST) + FAR_COST;
+                cost = cost.max(LOCAL_UTILIZATION_MAX - CROSS_DOMAIN_COST) + CROSS_DOMAIN_COST;
             }
-            cost += rng.random::<f64>() * TIE_SPREAD;
-            if best.as_ref().is_none_or(|(least, _)| cost < *least) {
-                best = Some((cost, Destination::Peer(Rc::clone(peer))));
+            cost += rng.random::<f64>() * COST_JITTER;
+            if cheapest.as_ref().is_none_or(|(least, _)| cost < *least) {
+                cheapest = Some((cost, Destination::Peer(Rc::clone(peer))));
             }
         }
-        best.map(|(_, destination)| destination)
+        cheapest.map(|(_, destination)| destination)
     }
 
-    /// What is known of each service, `own` among its targets.
+    /// Aggregated load of each service, including the local target with status `own`.
     pub fn services(&self, own: &Status) -> HashMap<String, ServiceView> {
         let mut views = HashMap::new();
         add_to_view(&mut views, own);
@@ -327,7 +330,7 @@
     }
 }
 
-/// Adds one target to what is known of its service.
+/// Adds one target to the aggregated load of its service.
 fn add_to_view(views: &mut HashMap<String, ServiceView>, status: &Status) {
     if !status.ready {
         return;
@@ -336,11 +339,11 @@
         views.insert(status.service.clone(), ServiceView::default());
     }
     let Some(view) = views.get_mut(&status.service) else { return };
-    let worth = worth_of(f64::from(status.failing_percent) / 100.0);
-    let part = |count: u32| (f64::from(count) * worth).ceil() as u32;
-    view.load.running += part(status.load.running);
-    view.load.waiting += part(status.load.waiting);
-    view.load.limit += part(status.load.limit);
+    let weight = capacity_weight(f64::from(status.failing_percent) / 100.0);
+    let weighted = |count: u32| (f64::from(count) * weight).ceil() as u32;
+    view.load.running += weighted(status.load.running);
+    view.load.waiting += weighted(status.load.waiting);
+    view.load.limit += weighted(status.load.limit);
     for work in &status.roots {
         if let Some(running) = view.roots.get_mut(&work.root) {
             *running += work.running;
--- a/src/mesh/failing.rs
+++ b/src/mesh/failing.rs
@@ -1,72 +1,72 @@
-//! How often a target has failed of late, and what that makes it worth.
+//! Tracks the recent failure share of a target, and derives its cost and weight.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// The share of a target's answers that were failures of late.
+/// Exponentially weighted share of failures among a target's answers.
 #[derive(Debug)]
 pub struct FailureShare {
     share: Cell<f64>,
-    noted: Cell<Instant>,
+    updated_at: Cell<Instant>,
 }
 
 impl Default for FailureShare {
     fn default() -> Self {
-        Self { share: Cell::default(), noted: Cell::new(Instant::now()) }
+        Self { share: Cell::default(), updated_at: Cell::new(Instant::now()) }
     }
 }
 
 impl FailureShare {
-    /// Takes in one answer.
+    /// Records one answer.
     pub fn note(&self, is_failure: bool) {
-        /// The weight of one answer.
+        /// Weight of one answer.
         const WEIGHT: f64 = 0.05;
-        let seen = if is_failure { 1.0 } else { 0.0 };
+        let sample = if is_failure { 1.0 } else { 0.0 };
         let now = Instant::now();
         let share = self.share(now);
-        self.share.set(share + WEIGHT * (seen - share));
-        self.noted.set(now);
+        self.share.set(share + WEIGHT * (sample - share));
+        self.updated_at.set(now);
     }
 
-    /// Forgets all answers: another incarnation gives them from now on.
+    /// Resets the share when a new incarnation takes over.
     pub fn forget(&self) {
         self.share.set(0.0);
     }
 
-    /// The share, 0 to 1. It fades while nothing is heard: a target that gets nothing for its failures
-    /// is to be tried again.
+    /// The share, from 0 to 1. It decays without new answers, so that a target that is avoided for
+    /// its failures is tried again.
     pub fn share(&self, now: Instant) -> f64 {
-        /// How long it takes to fade to a half.
+        /// Time in which the share halves.
         const HALF_LIFE: Duration = Duration::from_secs(1);
-        /// A share that makes no difference.
+        /// Shares below this count as zero.
         const NEGLIGIBLE: f64 = 0.002;
         if self.share.get() < NEGLIGIBLE {
             return 0.0;
         }
-        let lives = (now - self.noted.get()).as_secs_f64() / HALF_LIFE.as_secs_f64();
-        self.share.get() * 0.5_f64.powf(lives)
+        let half_lives = (now - self.updated_at.get()).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        self.share.get() * 0.5_f64.powf(half_lives)
     }
 
-    /// By how much busier the target counts. A failure deep in a tree of calls fails the whole tree,
-    /// so a target that fails one in three is left alone until the queues of all others are full.
+    /// Cost added to the target's utilization. A failure deep in a call tree fails the whole tree,
+    /// so a target that fails one call in three is avoided until all other queues are full.
     pub fn cost(&self, now: Instant) -> f64 {
-        /// What a target that fails always would count.
+        /// Cost of a target that always fails.
         const COST: f64 = 20.0;
-        (self.share(now) - FAILURES_USUAL).max(0.0) * COST
+        (self.share(now) - FAILURES_TOLERATED).max(0.0) * COST
     }
 }
 
-/// The share of failures that says nothing of a target.
-const FAILURES_USUAL: f64 = 0.1;
+/// Share of failures that is tolerated without any effect.
+const FAILURES_TOLERATED: f64 = 0.1;
 
-/// What a target with the given share of failures is worth beside one that works. With ten calls in a
-/// tree, hardly any tree bears a target that fails one in three.
-pub fn worth_of(failing: f64) -> f64 {
-    /// How fast the worth falls with the share.
+/// Weight of a target with the given share of failures, relative to a healthy one. A tree of ten
+/// calls hardly ever succeeds with a target that fails one call in three.
+pub fn capacity_weight(failing: f64) -> f64 {
+    /// Loss of weight per unit of failure share.
     const SLOPE: f64 = 5.0;
-    /// What remains at least, so that a service of which all targets fail still counts.
-    const WORTH_MIN: f64 = 0.05;
-    (1.0 - (failing - FAILURES_USUAL).max(0.0) * SLOPE).max(WORTH_MIN)
+    /// Minimum weight, so that a service whose targets all fail still counts.
+    const WEIGHT_MIN: f64 = 0.05;
+    (1.0 - (failing - FAILURES_TOLERATED).max(0.0) * SLOPE).max(WEIGHT_MIN)
 }
--- a/src/mesh/fingerprint.rs
+++ b/src/mesh/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What is the same of a request whenever and wherever it comes again.
+//! Identifies a request across retries and nodes.
 
 use std::fmt;
 
@@ -7,16 +7,17 @@
 
 use super::frame::Header;
 
-/// Names a request by its method, host, path with query, and body. Attempts of callers have an id of
-/// their own each, and so say nothing of it; all nodes find the same fingerprint, whatever their version.
+/// Hash of a request's method, host, path with query, and body. The attempt id is left out, as it
+/// differs between attempts of a caller. All nodes compute the same fingerprint, whatever their
+/// version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint(u64);
 
 impl Fingerprint {
-    /// The fingerprint of a request. Reads the whole body.
+    /// Computes the fingerprint of a request, reading the whole body.
     pub fn of(method: &str, path: &str, headers: &[Header], body: &[u8]) -> Self {
         let mut digest = Sha256::new();
-        // None of the parts before the body can hold a line break.
+        // A line break separates the parts unambiguously, as only the body can contain one.
         for part in [method.as_bytes(), &host(headers), path.as_bytes()] {
             digest.update(part);
             digest.update(b"\n");
@@ -28,7 +29,7 @@
         Self(u64::from_be_bytes(first))
     }
 
-    /// The fingerprint that is written as `text`.
+    /// Parses the hexadecimal form.
     pub fn parse(text: &str) -> Option<Self> {
         u64::from_str_radix(text, 16).ok().map(Self)
     }
@@ -40,7 +41,7 @@
     }
 }
 
-/// The host that a request names, as routes know it: without the port, in lower case.
+/// The host that a request names, as used by routes: in lower case and without the port.
 pub fn host(headers: &[Header]) -> Vec<u8> {
     let named = headers.iter().find(|header| header.name.eq_ignore_ascii_case(b"host"));
     let Some(header) = named else { return Vec::new() };
--- a/src/mesh/follower.rs
+++ b/src/mesh/follower.rs
@@ -1,8 +1,8 @@
-//! Which nodes follow the configuration in the store for the others.
+//! Decides which nodes follow the configuration in the store on behalf of the others.
 //!
-//! A few of each failure domain do; the others hear of a new version on their links. Every node decides
-//! for itself by what its neighbours say, so nobody has to be elected, and where all links are lost each
-//! node follows by itself.
+//! A few nodes in each failure domain do; the others learn of new versions over their links. Each
+//! node decides for itself from the status of its peers, so no election is needed, and a node that
+//! has lost all its links follows the store itself.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -10,25 +10,25 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How many nodes of each failure domain follow the store. One more than one: while a follower's
-/// connection is silent and not yet noticed to be, the other brings the changes.
+/// Number of nodes in each failure domain that follow the store. With two, one still receives
+/// changes while the connection of the other is dead but not yet detected as such.
 const FOLLOWERS_PER_DOMAIN: usize = 2;
 
-/// What a node does about the configuration in the store.
+/// How a node learns of configuration changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// It follows the store.
+    /// Follows the store.
     #[default]
     Follows,
-    /// It follows the store in place of others that do not reach it.
+    /// Follows the store in place of nodes that can't reach it.
     Substitutes,
-    /// It hears of changes from other nodes.
+    /// Learns of changes from other nodes.
     Hears,
 }
 
 impl Role {
-    /// The role of a node with so many others before it in the order of its failure domain: those that
-    /// reach the store, and all.
+    /// The role of a node by the number of nodes before it in the address order of its failure
+    /// domain: those that reach the store, and all.
     pub fn of(before_with_store: usize, before: usize) -> Self {
         if before < FOLLOWERS_PER_DOMAIN {
             Self::Follows
@@ -49,17 +49,18 @@
     }
 }
 
-/// What a node knows of the store, and of its part in following it.
+/// State of the connection to the store, and this node's role in following it.
 #[derive(Debug)]
 pub struct StoreWatch {
-    /// Wakes whoever follows the store where this node has to.
+    /// Wakes the task that follows the store, if this node's role requires it.
     pub to_follow: Notify,
-    /// Wakes whoever waits for an answer of the store when the node becomes the first of its failure domain.
+    /// Wakes the task that waits for the store's answer when this node becomes the first of its
+    /// failure domain.
     pub became_first: Notify,
     reaches_store: Cell<bool>,
     role: Cell<Role>,
     is_first: Cell<bool>,
-    heard: Cell<Instant>,
+    last_answer_at: Cell<Instant>,
 }
 
 impl Default for StoreWatch {
@@ -70,24 +71,25 @@
             reaches_store: Cell::new(true),
             is_first: Cell::new(true),
             role: Cell::default(),
-            heard: Cell::new(Instant::now()),
+            last_answer_at: Cell::new(Instant::now()),
         }
     }
 }
 
 impl StoreWatch {
-    /// What the node does about the store.
+    /// The role of this node.
     pub fn role(&self) -> Role {
         self.role.get()
     }
 
-    /// Whether no node of the failure domain that reaches the store comes before this one.
+    /// Whether this node is the first of its failure domain that reaches the store.
     pub fn is_first(&self) -> bool {
         self.is_first.get()
     }
 
-    /// Takes the place of a node with so many others before it in the order of its failure domain: those that
-    /// reach the store, and all. Says whether its part is another one now.
+    /// Updates the role from the number of nodes before this one in the address order of its
+    /// failure domain: those that reach the store, and all. Returns whether the role or `is_first`
+    /// has changed.
     pub fn take_place(&self, before_with_store: usize, before: usize) -> bool {
         let (role, is_first) = (Role::of(before_with_store, before), before_with_store == 0);
         if role != Role::Hears {
@@ -95,31 +97,33 @@
         }
         let was_first = self.is_first.replace(is_first);
         if is_first && !was_first {
-            // The others count on this node's question now, which may be an old one that was lost.
+            // The other nodes now rely on this one's pending request, which may be an old one that
+            // was lost.
             self.became_first.notify_waiters();
         }
         self.role.replace(role) != role || was_first != is_first
     }
 
-    /// Notes that the store has answered.
+    /// Records an answer of the store.
     pub fn note_heard(&self) {
         self.reaches_store.set(true);
-        self.heard.set(Instant::now());
+        self.last_answer_at.set(Instant::now());
     }
 
-    /// Notes that others are to follow the store in place of this node, until it answers again.
+    /// Marks the store as unreachable until it answers again, so that other nodes follow it
+    /// instead.
     pub fn note_away(&self) {
         self.reaches_store.set(false);
     }
 
-    /// Whether the node reaches the store, as far as it knows.
+    /// Whether the store was reachable at the last attempt.
     pub fn reaches_store(&self) -> bool {
         self.reaches_store.get()
     }
 
-    /// For how long the store has answered no question of this node about the configuration. In a calm time
-    /// it grows up to the time for which the store is asked to wait; more means that a question is lost.
+    /// Time since the store last answered a request for the configuration. In normal operation it
+    /// grows up to the long-poll wait; more means that a request was lost.
     pub fn silence(&self) -> Duration {
-        self.heard.get().elapsed()
+        self.last_answer_at.get().elapsed()
     }
 }
--- a/src/mesh/frame.rs
+++ b/src/mesh/frame.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other.
+//! The frames that nodes exchange.
 
 use std::net::SocketAddr;
 
@@ -8,158 +8,160 @@
 use super::fingerprint::Fingerprint;
 use super::incarnation::Incarnation;
 
-/// One message. Nodes of different versions meet while a release is on its way: what is new goes to the end.
+/// A frame. Nodes of different versions run side by side during a rolling upgrade, so new variants
+/// are added at the end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Who the sender is; the first frame in each direction.
+    /// Identifies the sender; the first frame in each direction.
     Hello(Hello),
-    /// A request for the target beside the receiver.
+    /// A request for the receiver's target.
     Call(Call),
-    /// What became of a call.
+    /// The result of a call.
     Answer {
-        /// The number of the call.
+        /// Id of the call.
         id: u64,
-        /// What became of it.
+        /// The result.
         end: CallEnd,
-        /// What the target has to do.
+        /// Load of the target.
         load: Load,
     },
-    /// Nobody waits for the answer to a call any more.
+    /// Cancels a call, as nobody waits for its answer any more.
     Cancel {
-        /// The number of the call.
+        /// Id of the call.
         id: u64,
     },
-    /// Asks for a sign of life, to see whether the connection still works; answered by a `Load`.
+    /// Checks whether the connection is alive; answered by a `Load`.
     Ping,
-    /// What the sender's target has to do; all else is as it was told last.
+    /// Load of the sender's target; the rest of its status is unchanged.
     Load(Load),
-    /// The state of the sender's target has changed.
+    /// Status of the sender and its target.
     Status(Status),
-    /// Asks which other nodes the receiver knows.
+    /// Asks for the other nodes that the receiver knows.
     NeighboursWanted,
     /// The other nodes that the sender is linked with.
     Neighbours(Vec<Neighbour>),
     /// Asks for the configuration.
     SiteWanted,
-    /// The configuration in force at the sender, as the platform's adapter encoded it.
+    /// The configuration in force at the sender, as encoded by the platform adapter.
     Site {
         /// The encoded configuration.
         document: Bytes,
     },
-    /// The target beside the sender has ended.
+    /// The sender's target has crashed.
     Crash(Crash),
-    /// A suspect has succeeded.
+    /// A suspect request has succeeded and is no longer suspect.
     Cleared(Fingerprint),
-    /// The suspects that the sender knows, for a node that may not.
+    /// The suspect requests known to the sender, for a node that has just connected.
     Suspicions(Vec<Suspicion>),
     /// Asks the owner of a team's quota for tokens.
     QuotaWanted {
         /// The team.
         team: String,
-        /// How many.
+        /// Number of tokens.
         tokens: u32,
     },
-    /// Answers that.
+    /// Answers `QuotaWanted`.
     QuotaGranted {
         /// The team.
         team: String,
-        /// What is granted; nothing where the sender does not own the quota.
+        /// The grant; `None` if the sender does not own the quota.
         grant: Option<QuotaGrant>,
     },
-    /// Tokens that were granted and not used.
+    /// Returns granted tokens that were not used.
     QuotaReturned {
         /// The team.
         team: String,
-        /// How many.
+        /// Number of tokens.
         tokens: u32,
     },
 }
 
-/// What the owner of a quota grants.
+/// Tokens granted by the owner of a quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaGrant {
-    /// Requests that may run.
+    /// Number of requests that may run.
     pub tokens: u32,
-    /// How long it is of no use to ask again, in milliseconds.
+    /// How long the owner has no further tokens, in milliseconds.
     pub dry_ms: u32,
-    /// When a refused caller may come back, in milliseconds.
+    /// How long a refused caller should wait before a retry, in milliseconds.
     pub come_back_ms: u32,
     /// Requests granted to all nodes over the last five seconds.
     pub used: u32,
 }
 
-/// Who a node is.
+/// Identity and status of a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Where other nodes reach it.
+    /// The address on which it accepts links from other nodes.
     pub address: SocketAddr,
     /// Its failure domain.
     pub failure_domain: String,
-    /// Its state.
+    /// Its status.
     pub status: Status,
-    /// Incarnations of the receiver's target that an earlier life of the receiver said had left.
+    /// Incarnations of the receiver's target that the receiver reported as gone before it was
+    /// restarted.
     pub left_incarnations: Vec<Incarnation>,
 }
 
-/// The end of a target, as far as requests may have caused it.
+/// Crash of a target, with the requests that may have caused it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Crash {
-    /// The requests that it was running, each once.
+    /// The requests that it was running, without duplicates.
     pub requests: Vec<Fingerprint>,
-    /// The one that is held back from now on.
+    /// The one that is quarantined as a result, if any.
     pub held: Option<Fingerprint>,
 }
 
-/// What is known of a request beside which targets have ended.
+/// A request that is suspected of crashing targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspicion {
-    /// Which request it is.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// How many targets have ended with it running since it last succeeded.
+    /// Number of targets that crashed while running it since its last success.
     pub crashes: u32,
-    /// How often it was held back.
+    /// How often it was quarantined.
     pub holds: u32,
 }
 
-/// A node as another one tells of it.
+/// A node, as reported by another one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Neighbour {
-    /// Where other nodes reach it.
+    /// The address on which it accepts links from other nodes.
     pub address: SocketAddr,
     /// Its failure domain.
     pub failure_domain: String,
 }
 
-/// The state of the target beside a node, and the version of its configuration.
+/// State of a node and its target, and the version of its configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// The service of the target.
     pub service: String,
-    /// The incarnation of the target; its id is empty where none is known.
+    /// The incarnation of the target; its id is empty if unknown.
     pub incarnation: Incarnation,
-    /// Whether the target takes new work.
+    /// Whether the target accepts new work.
     pub ready: bool,
-    /// Whether the node was told to stop.
+    /// Whether the node is shutting down.
     pub stopping: bool,
-    /// Whether the target has started only lately and is still slow.
+    /// Whether the target started recently and is still slow.
     pub cold: bool,
-    /// The version of the configuration in force at the node.
+    /// Version of the configuration in force at the node.
     pub site_version: u64,
-    /// Whether the node could follow the store: it runs on, and the store answers it.
+    /// Whether the node can follow the store: it is not shutting down, and the store answers it.
     pub reaches_store: bool,
-    /// The routes by which requests began that have reached the target of late.
+    /// Running requests by original route, for the routes seen recently.
     pub roots: Vec<RootWork>,
     /// Incarnations that are leaving, have left or were replaced.
     pub left: Vec<Incarnation>,
-    /// What the target has to do.
+    /// Load of the target.
     pub load: Load,
-    /// The share of its answers that were failures of late, in hundredths.
+    /// Recent share of failures among its answers, in percent.
     pub failing_percent: u8,
 }
 
 impl Status {
-    /// Whether it says the same as `other`, whatever the target has to do.
-    pub fn is_same_but_for_work(&self, other: &Self) -> bool {
+    /// Whether everything but the amount of work is equal to `other`.
+    pub fn eq_except_work(&self, other: &Self) -> bool {
         self.service == other.service
             && self.incarnation == other.incarnation
             && self.ready == other.ready
@@ -172,63 +174,63 @@
             && self.root_names().eq(other.root_names())
     }
 
-    /// The routes by which requests began that have reached the target of late.
+    /// The original routes whose requests have reached the target recently.
     fn root_names(&self) -> impl Iterator<Item = &String> {
         self.roots.iter().map(|work| &work.root)
     }
 }
 
-/// What a target does for requests that began by one route.
+/// Work of a target for requests that originate from one route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RootWork {
     /// The route.
     pub root: String,
-    /// Requests it is running.
+    /// Number of running requests.
     pub running: u32,
 }
 
-/// What a target has to do.
+/// Load of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests it is running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait for it at its node.
+    /// Number of requests queued at the node.
     pub waiting: u32,
-    /// How many requests it may run at once.
+    /// Maximum number of running requests.
     pub limit: u32,
 }
 
-/// A request for the target beside the receiver.
+/// A request for the receiver's target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Call {
-    /// Its number on this connection.
+    /// Id of the call, unique on this connection.
     pub id: u64,
-    /// The service it is for.
+    /// The service.
     pub service: String,
-    /// The id of the caller's attempt.
+    /// The attempt id set by the caller.
     pub attempt_id: String,
-    /// How long an answer is of use, in milliseconds.
+    /// Remaining time until the deadline, in milliseconds.
     pub remaining_ms: u32,
-    /// The route by which a caller's request began it all.
+    /// Route of the caller's original request.
     pub root: String,
-    /// The rank of that route; the lowest goes first.
+    /// Priority rank of that route; lower ranks go first.
     pub rank: u8,
-    /// Whether it repeats a run, or is made by a run that does.
+    /// Whether it is a retry, or is made by one.
     pub is_repeat: bool,
-    /// The team whose key let the caller's request in; empty where no key did.
+    /// Team whose API key admitted the original request; empty if no key was used.
     pub team: String,
     /// The method.
     pub method: String,
     /// The path with the query.
     pub path: String,
-    /// The headers, without the id of the attempt.
+    /// The headers, without the attempt id.
     pub headers: Vec<Header>,
     /// The whole body.
     pub body: Bytes,
 }
 
 impl Call {
-    /// What is the same of the request whenever it comes again. Reads the whole body.
+    /// The fingerprint of the request. Reads the whole body.
     pub fn fingerprint(&self) -> Fingerprint {
         Fingerprint::of(&self.method, &self.path, &self.headers, &self.body)
     }
@@ -237,37 +239,37 @@
 /// A header of a request or an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// Its name.
+    /// The name.
     pub name: Bytes,
-    /// Its value.
+    /// The value.
     pub value: Bytes,
 }
 
 impl Header {
-    /// A header of text.
+    /// Creates a header from text.
     pub fn new(name: &str, value: &[u8]) -> Self {
         Self { name: Bytes::copy_from_slice(name.as_bytes()), value: Bytes::copy_from_slice(value) }
     }
 }
 
-/// What became of a call.
+/// The result of a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CallEnd {
-    /// The target's whole answer.
+    /// The complete answer of the target.
     Answered(TargetAnswer),
-    /// The target did not run the request and never will run this call.
+    /// The target has not run this call and never will.
     NotRun(NotRun),
-    /// Nobody can say whether the target ran the request.
+    /// It is unknown whether the target ran the request.
     MayHaveRun(Doubt),
 }
 
 impl CallEnd {
-    /// Whether it is an answer other than a failure of the target.
+    /// Whether the target answered with a status below 500.
     pub fn went_well(&self) -> bool {
         matches!(self, Self::Answered(answer) if !answer.is_failure())
     }
 
-    /// The status of the target's answer; 0 where there is none.
+    /// The status of the target's answer; 0 if there is none.
     pub fn status(&self) -> u16 {
         match self {
             Self::Answered(answer) => answer.status,
@@ -283,8 +285,8 @@
         }
     }
 
-    /// Whether it speaks against the target itself. One that was too slow, or whose own calls failed,
-    /// may be as good as any other.
+    /// Whether the result counts as a failure of the target itself. Timeouts and failures of the
+    /// target's own calls don't: the target may be as healthy as any other.
     pub fn speaks_against_target(&self) -> bool {
         match self {
             Self::Answered(answer) => {
@@ -315,28 +317,27 @@
     }
 }
 
-/// The whole answer of a target.
+/// The complete answer of a target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TargetAnswer {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// Whether a call that the target made for it has failed, by this node or further down.
+    /// Whether a call that the target made for the request has failed, directly or further down the
+    /// tree.
     pub has_failed_below: bool,
-    /// The headers, without those that concern one connection and the id of the attempt, which whoever
-    /// waits for the answer knows.
+    /// The headers, without hop-by-hop headers and the attempt id, which the receiver knows.
     pub headers: Vec<Header>,
     /// The whole body.
     pub body: Bytes,
 }
 
 impl TargetAnswer {
-    /// Whether the target says that it failed.
+    /// Whether the status reports a failure.
     pub fn is_failure(&self) -> bool {
         self.status >= 500
     }
 
-    /// The name in logs: whether it worked, and if not, whether that came from a call that the target
-    /// made.
+    /// The name in logs, which tells failures of the target itself from failures of its calls.
     pub fn reason(&self) -> &'static str {
         match (self.is_failure(), self.has_failed_below) {
             (false, _) => "answered",
@@ -349,36 +350,36 @@
 /// Why a call was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NotRun {
-    /// There is no target of the service beside the node.
+    /// The node has no target of the service.
     NoTarget,
-    /// The target is leaving, or its node is.
+    /// The target or its node is draining.
     Leaving,
-    /// The entry node had no room for the request.
+    /// The entry node shed the request under overload.
     Shed,
-    /// The entry node is about to end.
+    /// The entry node is about to exit.
     Closing,
     /// The queue was full.
     QueueFull,
     /// The deadline passed in the queue.
     Expired,
-    /// No connection to the target could be made.
+    /// The target could not be connected to.
     Unreachable,
-    /// The request reached the target, which said that it did not run it.
+    /// The target received the request and reported that it did not run it.
     Declined,
-    /// The request has ended targets that ran it, and is held back.
+    /// The request has crashed targets and is quarantined.
     Quarantined,
     /// The connection to the node was lost before the call was sent.
     Unsent,
-    /// Nobody holds the key that the request carries, or it carries none.
+    /// The API key is missing or unknown.
     NoKey,
-    /// The quota of the team is used up.
+    /// The team has used up its quota.
     OverQuota,
-    /// A call for a run that has ended.
+    /// The call was made for a request that has ended.
     Orphaned,
 }
 
 impl NotRun {
-    /// Whether the request has reached a target all the same.
+    /// Whether the request reached a target before it was rejected.
     pub fn has_arrived(self) -> bool {
         self == Self::Declined
     }
@@ -403,16 +404,16 @@
     }
 }
 
-/// Why nobody can say whether a call ran.
+/// Why it is unknown whether a call ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Doubt {
-    /// No answer came in time.
+    /// No answer arrived in time.
     Timeout,
     /// The connection to the node was lost.
     LinkLost,
-    /// The target broke off, or its answer made no sense.
+    /// The target closed the connection or sent an invalid answer.
     TargetBroke,
-    /// It was made for a run that ended without an answer.
+    /// The request that the call was made for ended without an answer.
     Withdrawn,
 }
 
--- a/src/mesh/ingress.rs
+++ b/src/mesh/ingress.rs
@@ -1,4 +1,4 @@
-//! Takes in the requests of callers, and of the target beside the node.
+//! Accepts HTTP requests from callers and from the local target.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -29,41 +29,41 @@
 use super::teams::admission::{self, Identity, OverQuota, Unauthenticated};
 use super::trail::{Answering, EndedRequest, Trail, record_end};
 
-/// How much memory request bodies may take, as a share of what the node may use.
-const BODIES_SHARE: f64 = 0.25;
-/// The buffer of a connection, in bytes: at least the longest head.
+/// Fraction of the node's memory that request bodies may take.
+const BODIES_MEMORY_FRACTION: f64 = 0.25;
+/// Buffer size of a connection, in bytes; must hold the longest head.
 const BUFFER_BYTES: usize = 64 * 1024;
-/// When a caller should come back that came before the node was ready, in milliseconds.
+/// `Retry-After` while the node has no configuration yet, in milliseconds.
 const RETRY_AFTER_NOT_READY_MS: u64 = 500;
-/// When a caller should come back that reached a node about to end, in milliseconds.
+/// `Retry-After` of a node that is about to exit, in milliseconds.
 const RETRY_AFTER_CLOSING_MS: u64 = 300;
-/// When a caller should come back whose body does not fit into memory, in milliseconds.
+/// `Retry-After` when a body does not fit into memory, in milliseconds.
 const RETRY_AFTER_NO_MEMORY_MS: u64 = 1_000;
 
-/// When a call should come back whose parent is not known, in milliseconds.
+/// `Retry-After` for a call whose parent request has ended or is unknown, in milliseconds.
 const RETRY_AFTER_ORPHANED_MS: u64 = 300;
-/// The least time after which a caller beyond its team's quota should come back, in milliseconds.
+/// Minimum `Retry-After` for a caller over its team's quota, in milliseconds.
 const RETRY_AFTER_QUOTA_MIN_MS: u64 = 20;
 
-/// When a refused caller should come back, as a share of the objective.
-const COME_BACK_SHARES: Range<f64> = 0.3..0.7;
-/// The objective that is assumed at least for that, in milliseconds.
-const COME_BACK_MIN_MS: u64 = 300;
+/// Range of `Retry-After` for shed requests, as a fraction of the route's objective.
+const RETRY_AFTER_FRACTIONS: Range<f64> = 0.3..0.7;
+/// Minimum objective assumed for `Retry-After`, in milliseconds.
+const RETRY_AFTER_OBJECTIVE_MIN_MS: u64 = 300;
 
-/// A response as it is written.
+/// A response to a caller.
 type Response = http::Response<Full<Bytes>>;
 
-/// What is known of a connection of a caller.
-struct Connection {
-    /// Whether the caller is still there.
+/// State of a caller's connection.
+struct ConnectionState {
+    /// Reports whether the caller is still connected.
     caller: PeerWatch,
-    /// Whether a request on it is being answered.
+    /// Whether a request is being answered.
     is_busy: Cell<bool>,
-    /// When its last answer was given.
+    /// When the last answer was given.
     idle_since: Cell<Instant>,
 }
 
-/// Takes in connections of callers.
+/// Accepts connections from callers.
 pub async fn accept(node: Rc<Node>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -81,7 +81,7 @@
         return;
     }
     let stream = LingeringStream::new(stream);
-    let state = Rc::new(Connection {
+    let state = Rc::new(ConnectionState {
         caller: stream.peer(),
         is_busy: Cell::new(false),
         idle_since: Cell::new(Instant::now()),
@@ -97,7 +97,8 @@
     tokio::pin!(connection);
     let caller_left = state.caller.closed();
     tokio::pin!(caller_left);
-    // The runtime takes a new socket as readable before it has asked, and only then learns of a close.
+    // The runtime assumes that a new socket is readable, and learns of a close only once it has
+    // polled.
     yield_now().await;
     loop {
         let limits = node.site().map(|site| site.limits).unwrap_or_default();
@@ -105,12 +106,13 @@
         let check_at =
             idle_until.max(Instant::now() + Duration::from_millis(limits.head_timeout_ms));
         tokio::select! {
-            // Before the connection, so that nothing is begun for a caller that has left.
+            // Polled before the connection, so that no request is started for a caller that has
+            // gone.
             biased;
-            // Dropping the connection withdraws its request. hyper does not look for the end of the stream while
-            // bytes behind a request are unread.
+            // Dropping the connection cancels its request. hyper does not check for the end of the
+            // stream while there are unread bytes after a request.
             () = caller_left.as_mut() => return,
-            // How it ended concerns nobody else.
+            // Errors of one connection affect nothing else.
             _ = connection.as_mut() => return,
             () = sleep_until(check_at) => {}
         }
@@ -123,7 +125,7 @@
 /// Answers one request.
 async fn answer(
     node: &Rc<Node>,
-    connection: &Connection,
+    connection: &ConnectionState,
     request: http::Request<Incoming>,
 ) -> Response {
     let _in_flight = sender::count(node);
@@ -144,28 +146,28 @@
 ) -> Response {
     let arrived = Instant::now();
     let Some(site) = node.site() else {
-        return refusal(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_NOT_READY_MS);
+        return not_run_response(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_NOT_READY_MS);
     };
     let (parts, body) = request.into_parts();
     if head_bytes(&parts) > site.limits.head_max_bytes {
-        return plain(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
+        return empty_response(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
     }
     let host = parts.headers.get(HOST).and_then(|value| value.to_str().ok());
     let host = host.or(parts.uri.host()).unwrap_or("");
     let Some(route) = site.route(host, parts.uri.path()) else {
-        return plain(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     };
     let attempt_id = header_text(&parts.headers, &node.header_names.attempt_id);
     let parent = node.ancestry.parent(attempt_id);
     let root = parent.as_ref().map_or(&route.name, |parent| &parent.root).clone();
     let answering = Answering::new(node, caller, attempt_id, &root, arrived);
-    let entered = match &parent {
-        Some(parent) => Ok(Entered::with(parent)),
-        None => enter(node, &site, &route, &parts.headers, attempt_id).await,
+    let admitted = match &parent {
+        Some(parent) => Ok(AdmittedRequest::inherit(parent)),
+        None => admit_caller(node, &site, &route, &parts.headers, attempt_id).await,
     };
-    let entered = match entered {
-        Ok(entered) => entered,
-        Err(Refused { outcome, trail }) => {
+    let admitted = match admitted {
+        Ok(admitted) => admitted,
+        Err(Rejection { outcome, trail }) => {
             let response = response_to(&outcome);
             let status = response.status().as_u16();
             let ended = EndedRequest { attempt_id, route: &route, root: &root, arrived, status };
@@ -190,9 +192,9 @@
         body,
         deadline,
         root,
-        rank: entered.rank,
+        rank: admitted.rank,
         is_repeat: parent.as_ref().is_some_and(|parent| parent.is_repeat),
-        team: entered.team,
+        team: admitted.team,
     };
     let (outcome, mut trail) = send(node, &route, &request, parent.as_ref()).await;
     trail.team = Rc::clone(&request.team);
@@ -213,7 +215,7 @@
     response
 }
 
-/// Sends a request until it has its final answer, or until the run that makes it ends without one.
+/// Sends a request until it has a final result, or until its parent request ends without one.
 async fn send(
     node: &Rc<Node>,
     route: &Route,
@@ -231,105 +233,107 @@
     }
 }
 
-/// A request that was let in.
-struct Entered {
-    /// The team whose key let the caller's request in; empty where no key did.
+/// An admitted request.
+struct AdmittedRequest {
+    /// Team whose API key admitted the original request; empty if no key was used.
     team: Rc<str>,
-    /// Its rank.
+    /// Its priority rank.
     rank: u8,
-    /// Its place among the requests in flight, if it is a caller's.
+    /// Its slot among the requests in flight; `None` for calls of the target.
     _admitted: Option<Admitted>,
 }
 
-impl Entered {
-    /// A call of the target, which inherits what the request has for which it is made.
-    fn with(parent: &Origin) -> Self {
+impl AdmittedRequest {
+    /// A call of the target, which inherits team and rank from its parent request.
+    fn inherit(parent: &Origin) -> Self {
         Self { team: Rc::clone(&parent.team), rank: parent.rank, _admitted: None }
     }
 }
 
-/// A request that was not let in.
-struct Refused {
+/// A request that was not admitted.
+struct Rejection {
     outcome: Outcome,
     trail: Trail,
 }
 
-impl Refused {
+impl Rejection {
     fn new(reason: NotRun, retry_after_ms: u64, team: &Rc<str>) -> Self {
         let outcome = Outcome::refused(reason, retry_after_ms);
         Self { outcome, trail: Trail { team: Rc::clone(team), ..Trail::default() } }
     }
 
     fn over_quota(over: OverQuota, team: &Rc<str>) -> Self {
-        let come_back_ms = (over.retry_after.as_millis() as u64).max(RETRY_AFTER_QUOTA_MIN_MS);
-        let mut refused = Self::new(NotRun::OverQuota, come_back_ms, team);
-        refused.trail.quota = Some(over.state);
-        refused
+        let retry_after_ms = (over.retry_after.as_millis() as u64).max(RETRY_AFTER_QUOTA_MIN_MS);
+        let mut rejection = Self::new(NotRun::OverQuota, retry_after_ms, team);
+        rejection.trail.quota = Some(over.state);
+        rejection
     }
 }
 
-/// Lets in a request of a caller, by its key, the room that there is, and the quota of its team.
-async fn enter(
+/// Admits a caller's request if its API key, the load and the quota of its team permit.
+async fn admit_caller(
     node: &Rc<Node>,
     site: &Site,
     route: &Route,
     headers: &HeaderMap,
     attempt_id: &str,
-) -> Result<Entered, Refused> {
-    let nobody: Rc<str> = Rc::default();
+) -> Result<AdmittedRequest, Rejection> {
+    let no_team: Rc<str> = Rc::default();
     let holder = admission::authenticate(site, route, headers, &node.header_names.api_key);
     let is_orphan = match &holder {
         Ok(Identity::Team(_)) => false,
-        Ok(Identity::Anonymous) => node.ancestry.was_withdrawn(attempt_id),
+        Ok(Identity::Anonymous) => node.ancestry.has_unanswered_parent(attempt_id),
         Err(Unauthenticated) => node.ancestry.is_orphan(attempt_id),
     };
     if is_orphan {
-        return Err(Refused::new(NotRun::Orphaned, RETRY_AFTER_ORPHANED_MS, &nobody));
+        return Err(Rejection::new(NotRun::Orphaned, RETRY_AFTER_ORPHANED_MS, &no_team));
     }
-    let Ok(holder) = holder else { return Err(Refused::new(NotRun::NoKey, 0, &nobody)) };
+    let Ok(holder) = holder else { return Err(Rejection::new(NotRun::NoKey, 0, &no_team)) };
     let (team, rank) = match &holder {
         Identity::Team(team) => (&team.name, site.rank(route, Some(team))),
-        Identity::Anonymous => (&nobody, site.rank(route, None)),
+        Identity::Anonymous => (&no_team, site.rank(route, None)),
     };
     if node.is_closing() {
-        return Err(Refused::new(NotRun::Closing, RETRY_AFTER_CLOSING_MS, team));
+        return Err(Rejection::new(NotRun::Closing, RETRY_AFTER_CLOSING_MS, team));
     }
-    // A quota counts what may run, so it is asked only where there is room.
+    // The quota counts requests that run, so it is checked only after admission.
     let admitted = node.overload.admit(route, rank, &mut *node.rng.borrow_mut());
     if admitted.is_none() {
-        return Err(Refused::new(NotRun::Shed, come_back_ms(node, route), team));
+        return Err(Rejection::new(NotRun::Shed, shed_retry_after_ms(node, route), team));
     }
     if let Identity::Team(team) = &holder {
-        admission::admit(node, team).await.map_err(|over| Refused::over_quota(over, &team.name))?;
+        admission::admit(node, team)
+            .await
+            .map_err(|over| Rejection::over_quota(over, &team.name))?;
     }
-    Ok(Entered { team: Rc::clone(team), rank, _admitted: admitted })
+    Ok(AdmittedRequest { team: Rc::clone(team), rank, _admitted: admitted })
 }
 
-/// When a caller should come back whose request was refused, in milliseconds: soon enough to be
-/// answered within the objective, and spread, so that those refused at once do not return at once.
-fn come_back_ms(node: &Node, route: &Route) -> u64 {
-    let objective_ms = route.objective_ms.max(COME_BACK_MIN_MS);
-    let share = node.rng.borrow_mut().random_range(COME_BACK_SHARES);
+/// `Retry-After` for a shed request, in milliseconds: short enough for an answer within the
+/// objective, and randomized so that callers refused together don't return together.
+fn shed_retry_after_ms(node: &Node, route: &Route) -> u64 {
+    let objective_ms = route.objective_ms.max(RETRY_AFTER_OBJECTIVE_MIN_MS);
+    let share = node.rng.borrow_mut().random_range(RETRY_AFTER_FRACTIONS);
     (objective_ms as f64 * share) as u64
 }
 
-/// The response that tells an outcome.
+/// Converts an outcome into a response.
 fn response_to(outcome: &Outcome) -> Response {
     match outcome {
         Outcome::Answered(answer) => target_answer(answer),
-        Outcome::NotRun { reason: NotRun::NoKey, .. } => plain(StatusCode::UNAUTHORIZED),
+        Outcome::NotRun { reason: NotRun::NoKey, .. } => empty_response(StatusCode::UNAUTHORIZED),
         Outcome::NotRun { reason: NotRun::OverQuota, retry_after_ms } => {
-            refusal(StatusCode::TOO_MANY_REQUESTS, *retry_after_ms)
+            not_run_response(StatusCode::TOO_MANY_REQUESTS, *retry_after_ms)
         }
         Outcome::NotRun { retry_after_ms, .. } => {
-            refusal(StatusCode::SERVICE_UNAVAILABLE, *retry_after_ms)
+            not_run_response(StatusCode::SERVICE_UNAVAILABLE, *retry_after_ms)
         }
-        Outcome::MayHaveRun(Doubt::Timeout) => plain(StatusCode::GATEWAY_TIMEOUT),
-        Outcome::MayHaveRun(_) => plain(StatusCode::BAD_GATEWAY),
+        Outcome::MayHaveRun(Doubt::Timeout) => empty_response(StatusCode::GATEWAY_TIMEOUT),
+        Outcome::MayHaveRun(_) => empty_response(StatusCode::BAD_GATEWAY),
     }
 }
 
-/// Reads a whole body, or says how the request ends instead.
+/// Reads a whole body, or returns the response to send if that fails.
 async fn read_body(
     node: &Rc<Node>,
     mut body: Incoming,
@@ -341,48 +345,48 @@
     }
     let announced = body.size_hint().upper().unwrap_or(0) as usize;
     if announced > max_bytes {
-        return Err(plain(StatusCode::PAYLOAD_TOO_LARGE));
+        return Err(empty_response(StatusCode::PAYLOAD_TOO_LARGE));
     }
     let memory_bytes = node.settings.node.memory_mb as f64 * 1024.0 * 1024.0;
-    let room = (memory_bytes * BODIES_SHARE) as usize;
-    if node.held_bytes.get() + announced > room {
-        return Err(refusal(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_NO_MEMORY_MS));
+    let capacity = (memory_bytes * BODIES_MEMORY_FRACTION) as usize;
+    if node.held_bytes.get() + announced > capacity {
+        return Err(not_run_response(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_NO_MEMORY_MS));
     }
     let mut read = BytesMut::with_capacity(announced);
     let read_all = async {
         while let Some(frame) = body.frame().await {
-            let Ok(frame) = frame else { return Err(plain(StatusCode::BAD_REQUEST)) };
+            let Ok(frame) = frame else { return Err(empty_response(StatusCode::BAD_REQUEST)) };
             let Ok(data) = frame.into_data() else { continue };
             if read.len() + data.len() > max_bytes {
-                return Err(plain(StatusCode::PAYLOAD_TOO_LARGE));
+                return Err(empty_response(StatusCode::PAYLOAD_TOO_LARGE));
             }
             read.extend_from_slice(&data);
         }
         Ok(())
     };
-    let Ok(is_read) = timeout_at(deadline, read_all).await else {
-        return Err(refusal(StatusCode::REQUEST_TIMEOUT, 0));
+    let Ok(result) = timeout_at(deadline, read_all).await else {
+        return Err(not_run_response(StatusCode::REQUEST_TIMEOUT, 0));
     };
-    is_read?;
+    result?;
     Ok(read.freeze())
 }
 
-/// The length of the head of a request, in bytes.
+/// Approximate length of a request's head, in bytes.
 fn head_bytes(parts: &http::request::Parts) -> usize {
-    /// What stands around the name and the value of a header.
-    const AROUND_BYTES: usize = 4;
+    /// Separators and line break of a header.
+    const SEPARATOR_BYTES: usize = 4;
     let target = parts.uri.path_and_query().map_or(1, |target| target.as_str().len());
     let mut length = parts.method.as_str().len() + target;
     for (name, value) in &parts.headers {
-        length += name.as_str().len() + value.len() + AROUND_BYTES;
+        length += name.as_str().len() + value.len() + SEPARATOR_BYTES;
     }
     length
 }
 
-/// The headers that travel on. The id of the attempt travels by itself.
+/// The headers to forward. The attempt id is sent separately.
 fn request_headers(node: &Node, headers: &HeaderMap) -> Vec<Header> {
     let header_names = &node.header_names;
-    let named = named_by_connection(headers);
+    let listed = headers_listed_in_connection(headers);
     let mut found = Vec::with_capacity(headers.len());
     for (name, value) in headers {
         let is_replaced = *name == header_names.attempt_id
@@ -391,7 +395,7 @@
             || *name == header_names.calling_service
             || *name == header_names.api_key
             || *name == header_names.team;
-        if is_replaced || is_of_connection(name) || named.contains(name) {
+        if is_replaced || is_hop_by_hop(name) || listed.contains(name) {
             continue;
         }
         found.push(Header::new(name.as_str(), value.as_bytes()));
@@ -401,8 +405,8 @@
     found
 }
 
-/// Whether a header of a request concerns one connection only.
-fn is_of_connection(name: &HeaderName) -> bool {
+/// Whether a request header is hop-by-hop.
+fn is_hop_by_hop(name: &HeaderName) -> bool {
     const NAMES: [&str; 8] = [
         "connection",
         "keep-alive",
@@ -416,8 +420,8 @@
     *name == CONTENT_LENGTH || *name == EXPECT || NAMES.contains(&name.as_str())
 }
 
-/// The headers that the sender declares as concerning one connection only.
-fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
+/// The headers listed as hop-by-hop in `ConnectionState`.
+fn headers_listed_in_connection(headers: &HeaderMap) -> Vec<HeaderName> {
     let mut names = Vec::new();
     for value in headers.get_all(CONNECTION) {
         let Ok(text) = value.to_str() else { continue };
@@ -429,11 +433,12 @@
     names
 }
 
-/// The target's answer as it is written to the caller.
+/// Converts the target's answer into a response to the caller.
 fn target_answer(answer: &TargetAnswer) -> Response {
-    if is_promise(answer.status) {
-        // The target says so of a request that it has run; the caller would take it as not run.
-        return plain(StatusCode::BAD_GATEWAY);
+    if promises_not_run(answer.status) {
+        // The target has run the request, but the caller would take this status as a promise that
+        // it has not.
+        return empty_response(StatusCode::BAD_GATEWAY);
     }
     let mut response = http::Response::new(Full::new(answer.body.clone()));
     let status = StatusCode::from_u16(answer.status);
@@ -449,13 +454,13 @@
 }
 
 /// Whether a status promises that the request has not run and never will.
-fn is_promise(status: u16) -> bool {
+fn promises_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
-/// An answer of the node's own that promises that the request has not run.
-fn refusal(status: StatusCode, retry_after_ms: u64) -> Response {
-    let mut response = plain(status);
+/// A response from the node itself that promises that the request has not run.
+fn not_run_response(status: StatusCode, retry_after_ms: u64) -> Response {
+    let mut response = empty_response(status);
     if retry_after_ms > 0 {
         let seconds = format!("{}.{:03}", retry_after_ms / 1000, retry_after_ms % 1000);
         if let Ok(value) = HeaderValue::from_str(&seconds) {
@@ -465,14 +470,14 @@
     response
 }
 
-/// An answer of the node's own.
-fn plain(status: StatusCode) -> Response {
+/// An empty response from the node itself.
+fn empty_response(status: StatusCode) -> Response {
     let mut response = http::Response::new(Full::new(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-/// The value of a header as text; empty where it is missing.
+/// The value of a header as text; empty if missing.
 fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
     headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("")
 }
