--- a/src/mesh/gate.rs
+++ b/src/mesh/gate.rs
@@ -1,4 +1,4 @@
-//! Which of the requests that wait for the target beside the node may run now.
+//! Limits concurrency at the local target and queues the requests beyond it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,50 +10,51 @@
 
 use super::frame::Load;
 
-/// The share of a target's slots that is used. Some targets slow down when nearly full (by 1.3 from
-/// 0.95 of their slots on), which costs more than the slots left free.
-const USED_SHARE: f64 = 0.94;
-/// How much waiting a rank outweighs. What was admitted at its entry is to be carried through: with
-/// strict ranks, admitted requests of low rank wait until they expire, and all they ran is wasted.
+/// Fraction of a target's slots that is used. Some targets slow down when nearly full (by a factor
+/// of 1.3 from 0.95 of their slots on), which costs more than the unused slots.
+const USABLE_FRACTION: f64 = 0.94;
+/// Waiting time that one rank outweighs. Requests that the entry node has admitted should be
+/// completed: with strict priorities, admitted requests of low rank would wait until they expire,
+/// and the work done for them would be wasted.
 const RANK_DELAY: Duration = Duration::from_millis(40);
-/// How many requests may wait, as a multiple of those that may run.
-const WAITING_PER_SLOT: usize = 4;
+/// Maximum queue length, as a multiple of the limit.
+const QUEUE_PER_SLOT: usize = 4;
 
-/// The weight of one run in the typical time, as a divisor.
-const SMOOTHING: u64 = 32;
+/// Divisor for the weight of one request in the moving average of run times.
+const SMOOTHING_DIVISOR: u64 = 32;
 
-/// Counts what the target runs, and queues what it has no room for.
+/// Counts the requests that the target is running and queues the rest.
 #[derive(Debug, Default)]
 pub struct Gate {
     limit: Cell<usize>,
     running: Cell<usize>,
-    next_ticket: Cell<u64>,
-    waiting: RefCell<BTreeMap<Place, Waiter>>,
+    next_sequence: Cell<u64>,
+    waiting: RefCell<BTreeMap<QueueKey, Waiter>>,
     last_wait_ms: Cell<u32>,
-    /// The typical time of a run, in microseconds.
-    typical_run_us: Cell<u64>,
+    /// Moving average of the run time, in microseconds.
+    mean_run_us: Cell<u64>,
 }
 
-/// A place in the queue: the moment of arrival, put off by the rank, then the order of arrival.
-type Place = (Instant, u64);
+/// Key in the queue: arrival time delayed by rank, then arrival order.
+type QueueKey = (Instant, u64);
 
-/// A request that waits.
+/// A queued request.
 #[derive(Debug)]
 struct Waiter {
     since: Instant,
     admitted: oneshot::Sender<Slot>,
 }
 
-/// Why a request gets no slot.
+/// Why a request was not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateError {
-    /// Too many wait already.
+    /// The queue is full.
     Full,
-    /// The target takes no new work any more.
+    /// The target no longer accepts work.
     Closed,
 }
 
-/// The right to run one request; ends when dropped.
+/// A slot for one running request, released when dropped.
 #[derive(Debug)]
 pub struct Slot {
     gate: Rc<Gate>,
@@ -63,34 +64,36 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let run_us = self.since.elapsed().as_micros() as u64;
-        let typical_us = self.gate.typical_run_us.get();
-        self.gate.typical_run_us.set(typical_us - typical_us / SMOOTHING + run_us / SMOOTHING);
+        let mean_us = self.gate.mean_run_us.get();
+        self.gate
+            .mean_run_us
+            .set(mean_us - mean_us / SMOOTHING_DIVISOR + run_us / SMOOTHING_DIVISOR);
         self.gate.running.set(self.gate.running.get() - 1);
         self.gate.admit();
     }
 }
 
-/// Takes a request that gives up out of the queue.
-struct Waiting<'a> {
+/// Removes an abandoned request from the queue when dropped.
+struct QueueGuard<'a> {
     gate: &'a Rc<Gate>,
-    place: Place,
+    key: QueueKey,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        self.gate.waiting.borrow_mut().remove(&self.place);
+        self.gate.waiting.borrow_mut().remove(&self.key);
     }
 }
 
 impl Gate {
-    /// Sets how many requests the target runs at once.
+    /// Sets the number of requests that the target can run at once.
     pub fn set_slots(self: &Rc<Self>, slots: u32) {
-        let used = (f64::from(slots) * USED_SHARE).floor().max(1.0) as usize;
+        let used = (f64::from(slots) * USABLE_FRACTION).floor().max(1.0) as usize;
         self.limit.set(used);
         self.admit();
     }
 
-    /// Refuses everything that waits.
+    /// Rejects all queued requests.
     pub fn close(&self) {
         self.waiting.borrow_mut().clear();
     }
@@ -101,24 +104,24 @@
             self.last_wait_ms.set(0);
             return Ok(self.slot());
         }
-        if self.waiting.borrow().len() >= self.limit.get() * WAITING_PER_SLOT {
+        if self.waiting.borrow().len() >= self.limit.get() * QUEUE_PER_SLOT {
             return Err(GateError::Full);
         }
-        let ticket = self.next_ticket.get();
-        self.next_ticket.set(ticket + 1);
-        let place = (Instant::now() + RANK_DELAY * u32::from(rank), ticket);
+        let sequence = self.next_sequence.get();
+        self.next_sequence.set(sequence + 1);
+        let key = (Instant::now() + RANK_DELAY * u32::from(rank), sequence);
         let (admitted, admission) = oneshot::channel();
-        self.waiting.borrow_mut().insert(place, Waiter { since: Instant::now(), admitted });
-        let _waiting = Waiting { gate: self, place };
+        self.waiting.borrow_mut().insert(key, Waiter { since: Instant::now(), admitted });
+        let _guard = QueueGuard { gate: self, key };
         admission.await.map_err(|_| GateError::Closed)
     }
 
-    /// The typical time that the target takes for a request.
+    /// Moving average of the time that the target takes for a request.
     pub fn typical_run(&self) -> Duration {
-        Duration::from_micros(self.typical_run_us.get())
+        Duration::from_micros(self.mean_run_us.get())
     }
 
-    /// What the target has to do.
+    /// Current load of the target.
     pub fn load(&self) -> Load {
         Load {
             running: self.running.get() as u32,
@@ -127,9 +130,9 @@
         }
     }
 
-    /// How long the queue makes a request wait at this moment, in milliseconds.
+    /// Current delay of the queue, in milliseconds.
     ///
-    /// Looks at everything that waits.
+    /// Iterates over the whole queue.
     pub fn wait_ms(&self) -> u32 {
         let waiting = self.waiting.borrow();
         let oldest = waiting.values().map(|waiter| waiter.since).min();
@@ -142,7 +145,7 @@
         Slot { gate: Rc::clone(self), since: Instant::now() }
     }
 
-    /// Gives free slots to those that wait.
+    /// Assigns free slots to queued requests.
     fn admit(self: &Rc<Self>) {
         while self.running.get() < self.limit.get() {
             let Some((_, waiter)) = self.waiting.borrow_mut().pop_first() else { return };
@@ -151,7 +154,7 @@
                 continue;
             }
             let slot = self.slot();
-            // Whoever left the queue at this moment drops the slot, which admits the next.
+            // If the receiver has just gone, dropping the slot admits the next request.
             drop(waiter.admitted.send(slot));
         }
     }
--- a/src/mesh/http1.rs
+++ b/src/mesh/http1.rs
@@ -1,8 +1,8 @@
-//! One HTTP/1.1 exchange at a time over a kept connection, as a client.
+//! HTTP/1.1 client that runs one exchange at a time on a persistent connection.
 //!
-//! hyper's client takes the next bytes on a connection as the answer to the request it wrote last.
-//! A target may send a second answer to an earlier request, late, on a kept connection; only the id
-//! in it tells, so answers are matched here before they are taken.
+//! hyper's client takes the next bytes on a connection as the answer to the last request. A target
+//! may send a second, late answer to an earlier request on a kept connection, recognizable only by
+//! the id in it, so this client matches answers before accepting them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,32 +17,32 @@
 
 use super::socket;
 
-/// The most headers of an answer.
+/// Maximum number of headers in an answer.
 const HEADERS_MAX: usize = 96;
-/// The longest head of an answer, in bytes.
+/// Maximum size of an answer's head, in bytes.
 const HEAD_MAX_BYTES: usize = 64 * 1024;
-/// The longest body of an answer, in bytes: a node holds answers whole.
+/// Maximum size of an answer's body, in bytes: a node buffers whole answers.
 const BODY_MAX_BYTES: usize = 32 * 1024 * 1024;
-/// What is read at once, in bytes.
+/// Size of a read, in bytes.
 const READ_BYTES: usize = 16 * 1024;
-/// How much sooner than its peer says a kept connection is taken as closed.
-const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// How long a kept connection is used whose peer does not say how long it keeps it.
-const IDLE_DEFAULT: Duration = Duration::from_secs(4);
-/// The most answers to other requests that are skipped before the right one.
+/// How long before the announced keep-alive timeout a connection counts as closed.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
+/// Keep-alive timeout assumed if the peer announces none.
+const KEEP_ALIVE_DEFAULT: Duration = Duration::from_secs(4);
+/// Maximum number of unrelated answers skipped before the right one.
 const SKIPPED_MAX: usize = 4;
 
-/// Why an exchange has no answer.
+/// Why an exchange failed.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
-    /// No connection could be made.
+    /// No connection could be established.
     #[error("cannot connect: {0}")]
     Connect(io::Error),
-    /// The connection broke before the whole answer was there.
+    /// The connection broke before the complete answer was read.
     #[error("broken off: {0}")]
     Broken(io::Error),
-    /// What came is no answer in HTTP/1.1.
-    #[error("not an answer: {0}")]
+    /// The bytes are not a valid HTTP/1.1 answer.
+    #[error("invalid HTTP response: {0}")]
     Malformed(&'static str),
 }
 
@@ -61,21 +61,21 @@
     usable_until: Instant,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Reply {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The headers in the order they came.
+    /// The headers, in the order received.
     pub headers: Vec<(Bytes, Bytes)>,
     /// The whole body.
     pub body: Bytes,
-    /// Whether the connection may carry another exchange.
+    /// Whether the connection can carry another exchange.
     pub is_reusable: bool,
 }
 
 impl Reply {
-    /// The value of the first header of a name, where it is text.
+    /// The value of the first header with a name, if it is valid UTF-8.
     pub fn header(&self, name: &str) -> Option<&str> {
         let is_named = |(key, _): &&(Bytes, Bytes)| key.eq_ignore_ascii_case(name.as_bytes());
         let (_, value) = self.headers.iter().find(is_named)?;
@@ -83,7 +83,7 @@
     }
 }
 
-/// How the body of an answer ends.
+/// How the end of a body is determined.
 enum Framing {
     Length(usize),
     Chunked,
@@ -91,15 +91,15 @@
 }
 
 impl Connection {
-    /// Connects.
+    /// Connects to `address`.
     pub async fn open(address: SocketAddr) -> Result<Self, ExchangeError> {
         let stream = socket::connect(address).await.map_err(ExchangeError::Connect)?;
-        let usable_until = Instant::now() + IDLE_DEFAULT;
+        let usable_until = Instant::now() + KEEP_ALIVE_DEFAULT;
         Ok(Self { stream, buffer: BytesMut::new(), usable_until })
     }
 
-    /// Whether another request may be written: the peer has neither closed the connection nor sent
-    /// anything that nobody asked for, and will not close it at this very moment.
+    /// Whether another request can be written: the peer has not closed the connection, has sent no
+    /// unsolicited bytes, and is not about to close it.
     pub fn is_usable(&self) -> bool {
         if !self.buffer.is_empty() || Instant::now() >= self.usable_until {
             return false;
@@ -108,7 +108,7 @@
         matches!(self.stream.try_read(&mut probe), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Writes a request and reads the answer that `is_mine` accepts; others are skipped.
+    /// Writes a request and reads answers until `accepts` accepts one.
     ///
     /// After an error, or if the future is dropped, the connection must not be used again.
     pub async fn exchange(
@@ -116,22 +116,22 @@
         method: &Method,
         head: &[u8],
         body: &[u8],
-        is_mine: impl Fn(&Reply) -> bool,
+        accepts: impl Fn(&Reply) -> bool,
     ) -> Result<Reply, ExchangeError> {
         let (mut reader, mut writer) = self.stream.split();
         let write = write_request(&mut writer, head, body);
-        let read = read_answer(&mut reader, &mut self.buffer, method, is_mine);
+        let read = read_answer(&mut reader, &mut self.buffer, method, accepts);
         let reply = write_and_read(write, read).await?;
-        self.usable_until = Instant::now() + idle_time(&reply);
+        self.usable_until = Instant::now() + keep_alive_time(&reply);
         Ok(reply)
     }
 }
 
-/// Writes a request while its answer is read, which may come before the whole request is written.
+/// Writes a request while its answer is read, which may arrive before the request is fully written.
 ///
-/// A peer that answers early may stop reading, so the answer decides even if writing fails. The
-/// connection carries another exchange only after the whole request was written: the rest of it must
-/// not be taken for another one.
+/// A peer that answers early may stop reading, so the answer counts even if writing fails. The
+/// connection is reused only if the whole request was written, as the peer could take the rest of
+/// it for another request.
 pub async fn write_and_read(
     write: impl Future<Output = io::Result<()>>,
     read: impl Future<Output = Result<Reply, ExchangeError>>,
@@ -164,37 +164,38 @@
     writer.write_all(body).await
 }
 
-/// Reads answers until one is accepted by `is_mine`.
+/// Reads answers until `accepts` accepts one.
 async fn read_answer(
     reader: &mut (impl AsyncReadExt + Unpin),
     buffer: &mut BytesMut,
     method: &Method,
-    is_mine: impl Fn(&Reply) -> bool,
+    accepts: impl Fn(&Reply) -> bool,
 ) -> Result<Reply, ExchangeError> {
     for _ in 0..=SKIPPED_MAX {
         let reply = read_reply(reader, buffer, method).await?;
-        if is_mine(&reply) {
+        if accepts(&reply) {
             return Ok(reply);
         }
         if !reply.is_reusable {
             break;
         }
     }
-    Err(ExchangeError::Malformed("answers to other requests only"))
+    Err(ExchangeError::Malformed("only answers to other requests"))
 }
 
-/// How long a connection may be kept after an answer.
-fn idle_time(reply: &Reply) -> Duration {
-    let Some(text) = reply.header("keep-alive") else { return IDLE_DEFAULT };
+/// How long a connection can be kept after an answer.
+fn keep_alive_time(reply: &Reply) -> Duration {
+    let Some(text) = reply.header("keep-alive") else { return KEEP_ALIVE_DEFAULT };
     let parameters = text.split(',');
     let timeout_s = parameters
         .filter_map(|parameter| parameter.trim().strip_prefix("timeout="))
         .find_map(|value| value.trim().parse::<u64>().ok());
-    timeout_s
-        .map_or(IDLE_DEFAULT, |seconds| Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN))
+    timeout_s.map_or(KEEP_ALIVE_DEFAULT, |seconds| {
+        Duration::from_secs(seconds).saturating_sub(KEEP_ALIVE_MARGIN)
+    })
 }
 
-/// Reads one whole answer; interim ones are skipped.
+/// Reads one complete answer, skipping interim ones.
 async fn read_reply(
     reader: &mut (impl AsyncReadExt + Unpin),
     buffer: &mut BytesMut,
@@ -208,7 +209,7 @@
         let framing = framing(&reply, method)?;
         reply.is_reusable &= !matches!(framing, Framing::UntilClose);
         reply.body = match framing {
-            Framing::Length(length) => read_length(reader, buffer, length).await?,
+            Framing::Length(length) => read_fixed(reader, buffer, length).await?,
             Framing::Chunked => read_chunks(reader, buffer).await?,
             Framing::UntilClose => read_to_end(reader, buffer).await?,
         };
@@ -225,33 +226,33 @@
             return Ok(reply);
         }
         if buffer.len() > HEAD_MAX_BYTES {
-            return Err(ExchangeError::Malformed("the head is too long"));
+            return Err(ExchangeError::Malformed("head too long"));
         }
-        read_more(reader, buffer).await?;
+        fill_buffer(reader, buffer).await?;
     }
 }
 
 fn parse_head(buffer: &mut BytesMut) -> Result<Option<Reply>, ExchangeError> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut head = httparse::Response::new(&mut headers);
-    let parsed = head.parse(buffer).map_err(|_| ExchangeError::Malformed("no status line"))?;
+    let parsed = head.parse(buffer).map_err(|_| ExchangeError::Malformed("invalid head"))?;
     let httparse::Status::Complete(length) = parsed else { return Ok(None) };
     let status = head.code.unwrap_or(0);
     let is_http_11 = head.version == Some(1);
-    // One copy of the head, of which names and values are views.
+    // The head is copied once; names and values are slices of the copy.
     let bytes = Bytes::copy_from_slice(&buffer[..length]);
     let start = buffer.as_ptr() as usize;
     let view = |part: &[u8]| {
         let at = part.as_ptr() as usize - start;
         bytes.slice(at..at + part.len())
     };
-    let mut found = Vec::with_capacity(head.headers.len());
+    let mut copied = Vec::with_capacity(head.headers.len());
     for header in head.headers.iter() {
         let value = if header.value.is_empty() { Bytes::new() } else { view(header.value) };
-        found.push((view(header.name.as_bytes()), value));
+        copied.push((view(header.name.as_bytes()), value));
     }
     buffer.advance(length);
-    let mut reply = Reply { status, headers: found, body: Bytes::new(), is_reusable: is_http_11 };
+    let mut reply = Reply { status, headers: copied, body: Bytes::new(), is_reusable: is_http_11 };
     let connection = reply.header("connection").unwrap_or("");
     if connection.split(',').any(|token| token.trim().eq_ignore_ascii_case("close")) {
         reply.is_reusable = false;
@@ -268,25 +269,25 @@
         return if is_chunked {
             Ok(Framing::Chunked)
         } else {
-            Err(ExchangeError::Malformed("an unknown transfer coding"))
+            Err(ExchangeError::Malformed("unknown transfer coding"))
         };
     }
     let Some(length) = reply.header("content-length") else { return Ok(Framing::UntilClose) };
     let length = length.trim().parse::<usize>();
     match length {
         Ok(length) if length <= BODY_MAX_BYTES => Ok(Framing::Length(length)),
-        _ => Err(ExchangeError::Malformed("an impossible length")),
+        _ => Err(ExchangeError::Malformed("invalid or too large content length")),
     }
 }
 
-async fn read_length(
+async fn read_fixed(
     reader: &mut (impl AsyncReadExt + Unpin),
     buffer: &mut BytesMut,
     length: usize,
 ) -> Result<Bytes, ExchangeError> {
     while buffer.len() < length {
         buffer.reserve(length - buffer.len());
-        read_more(reader, buffer).await?;
+        fill_buffer(reader, buffer).await?;
     }
     Ok(buffer.split_to(length).freeze())
 }
@@ -300,8 +301,8 @@
         let (size_end, size) = loop {
             match httparse::parse_chunk_size(buffer) {
                 Ok(httparse::Status::Complete(found)) => break found,
-                Ok(httparse::Status::Partial) => read_more(reader, buffer).await?,
-                Err(_) => return Err(ExchangeError::Malformed("no chunk size")),
+                Ok(httparse::Status::Partial) => fill_buffer(reader, buffer).await?,
+                Err(_) => return Err(ExchangeError::Malformed("invalid chunk size")),
             }
         };
         buffer.advance(size_end);
@@ -309,17 +310,17 @@
             return read_trailers(reader, buffer).await.map(|()| body.freeze());
         }
         if size > (BODY_MAX_BYTES - body.len()) as u64 {
-            return Err(ExchangeError::Malformed("the body is too long"));
+            return Err(ExchangeError::Malformed("body too long"));
         }
-        let chunk = read_length(reader, buffer, size as usize + 2).await?;
+        let chunk = read_fixed(reader, buffer, size as usize + 2).await?;
         if !chunk.ends_with(b"\r\n") {
-            return Err(ExchangeError::Malformed("no end of a chunk"));
+            return Err(ExchangeError::Malformed("chunk without terminator"));
         }
         body.extend_from_slice(&chunk[..size as usize]);
     }
 }
 
-/// Reads past the trailers of a chunked body.
+/// Reads and discards the trailers of a chunked body.
 async fn read_trailers(
     reader: &mut (impl AsyncReadExt + Unpin),
     buffer: &mut BytesMut,
@@ -332,9 +333,9 @@
             }
         }
         if buffer.len() > HEAD_MAX_BYTES {
-            return Err(ExchangeError::Malformed("the trailers are too long"));
+            return Err(ExchangeError::Malformed("trailers too long"));
         }
-        read_more(reader, buffer).await?;
+        fill_buffer(reader, buffer).await?;
     }
 }
 
@@ -344,7 +345,7 @@
 ) -> Result<Bytes, ExchangeError> {
     loop {
         if buffer.len() > BODY_MAX_BYTES {
-            return Err(ExchangeError::Malformed("the body is too long"));
+            return Err(ExchangeError::Malformed("body too long"));
         }
         buffer.reserve(READ_BYTES);
         let read = reader.read_buf(buffer).await.map_err(ExchangeError::Broken)?;
@@ -354,7 +355,7 @@
     }
 }
 
-async fn read_more(
+async fn fill_buffer(
     reader: &mut (impl AsyncReadExt + Unpin),
     buffer: &mut BytesMut,
 ) -> Result<(), ExchangeError> {
--- a/src/mesh/inquiry.rs
+++ b/src/mesh/inquiry.rs
@@ -1,10 +1,10 @@
-//! When a node that follows the configuration asks the store, and when it gives a question up.
+//! Schedules the long polls by which a node follows the configuration in the store.
 //!
-//! A store may take a question and never answer it, and so may a connection that has fallen silent: the
-//! node then waits for an answer that cannot come, while changes pass it by. All followers ask at the
-//! same change, so one silent time can take the questions of all. Whoever is the first of its failure domain
-//! therefore asks for short waits, and finds a lost question out soon; the others may wait long, as what they
-//! are for is a first node that is gone.
+//! A store may accept a request and never answer it, and so may a dead connection: the node then
+//! misses changes while it waits. All followers renew their requests at the same change, so one
+//! outage can swallow the requests of all of them. The first node of each failure domain therefore
+//! uses short polls and detects a lost request soon; the others, which only stand in for a first
+//! node that fails, use long ones.
 
 use std::time::Duration;
 
@@ -12,106 +12,107 @@
 
 use super::follower::Role;
 
-/// After this time the question of a first node counts as lost, and so does one to a store that is away. Nodes
-/// have to keep to all bounds 3 s after the store is back; a question lost in its last silent moment is asked
-/// anew half a second before. With 27.5 s, a store that had been silent for 3.5 s left 16 nodes without three
-/// configurations for the 11 s that followed.
+/// Time after which the request of a first node, or one to an unreachable store, counts as lost.
+/// Nodes must meet all guarantees again 3 s after the store has recovered; a request lost at the
+/// end of an outage is then repeated half a second before that. With 27.5 s, an outage of 3.5 s
+/// left 16 nodes without three configurations for the following 11 s.
 const LOST_AFTER: Duration = Duration::from_millis(2_500);
-/// How long the store is asked to wait by a first node. The rest of `LOST_AFTER` is for the answer, which takes
-/// 4 ms of a calm store and a quarter of a second of a slow one.
+/// Long-poll wait of a first node. The rest of `LOST_AFTER` is left for the answer, which takes 4
+/// ms from a store under normal load and 250 ms from a slow one.
 const WAIT_FIRST: Duration = Duration::from_millis(1_500);
-/// How long the store is asked to wait by any other. A calm hour takes fewer than 180 questions of each.
+/// Long-poll wait of all other nodes. Each then sends fewer than 180 requests an hour in normal
+/// operation.
 const WAIT_OTHERS: Duration = Duration::from_secs(25);
-/// By this share at most a wait is shorter, so that questions that began together do not run out together.
-const WAIT_SPREAD: f64 = 0.2;
-/// The pause between two questions that fail, at first.
-const PAUSE_MIN: Duration = Duration::from_millis(100);
-/// The longest pause between two questions that fail.
-const PAUSE_MAX: Duration = Duration::from_millis(800);
-/// The same for a node that only follows the store while others do not reach it: a store that is away gains
-/// nothing from being asked by all.
-const PAUSE_MAX_INSTEAD: Duration = Duration::from_secs(4);
-/// After failing for this long a node says that it does not reach the store, so that others follow.
-const AWAY_AFTER: Duration = Duration::from_millis(700);
+/// Maximum random reduction of a wait, so that requests that began together don't end together.
+const WAIT_JITTER: f64 = 0.2;
+/// Initial backoff after a failed request.
+const BACKOFF_MIN: Duration = Duration::from_millis(100);
+/// Maximum backoff after failed requests.
+const BACKOFF_MAX: Duration = Duration::from_millis(800);
+/// Maximum backoff of a node that follows the store only in place of others: more requests don't
+/// help an unreachable store to recover.
+const SUBSTITUTE_BACKOFF_MAX: Duration = Duration::from_secs(4);
+/// Time of failures after which a node reports the store as unreachable, so that others follow it.
+const UNREACHABLE_AFTER: Duration = Duration::from_millis(700);
 
-/// A question to the store.
+/// A long-poll request to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Question {
-    /// How long the store is asked to wait for a change.
+    /// How long the store may wait for a change.
     pub wait: Duration,
-    /// After this time without an answer it counts as lost.
+    /// Time without an answer after which the request counts as lost.
     pub lost_after: Duration,
 }
 
-/// What follows from a question that failed.
+/// Consequences of a failed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// Whether the one before had been answered.
+    /// Whether it is the first failure since the last answer.
     pub is_new: bool,
-    /// Whether others are to follow the store in place of this node.
+    /// Whether other nodes should follow the store in place of this one.
     pub is_away: bool,
-    /// How long the question had waited.
+    /// How long the request had been pending.
     pub waited: Duration,
-    /// When the next question is due.
+    /// When to send the next request.
     pub retry_at: Instant,
 }
 
-/// The questions of one node.
+/// Schedules the requests of one node.
 #[derive(Debug)]
 pub struct Inquiry {
-    asked: Instant,
+    sent_at: Instant,
     question: Question,
-    pause: Duration,
-    away_since: Option<Instant>,
+    backoff: Duration,
+    failing_since: Option<Instant>,
 }
 
 impl Inquiry {
-    /// Nothing was asked yet.
+    /// Starts without any request sent.
     pub fn new(now: Instant) -> Self {
         let question = Question { wait: Duration::ZERO, lost_after: LOST_AFTER };
-        Self { asked: now, question, pause: PAUSE_MIN, away_since: None }
+        Self { sent_at: now, question, backoff: BACKOFF_MIN, failing_since: None }
     }
 
-    /// The next question, asked now. `is_first` tells whether no node of the failure domain that reaches the
-    /// store comes before this one; `spread` is drawn from 0 to 1.
-    pub fn ask(&mut self, is_first: bool, spread: f64, now: Instant) -> Question {
-        let shorter = 1.0 - WAIT_SPREAD * spread;
-        self.asked = now;
-        self.question = match (self.away_since, is_first) {
-            // Whether the store answers at all is to be known before it is asked to wait.
+    /// The next request, sent now. `is_first` tells whether this node is the first of its failure
+    /// domain that reaches the store; `jitter` is a random number from 0 to 1.
+    pub fn ask(&mut self, is_first: bool, jitter: f64, now: Instant) -> Question {
+        let factor = 1.0 - WAIT_JITTER * jitter;
+        self.sent_at = now;
+        self.question = match (self.failing_since, is_first) {
+            // Find out whether the store answers at all before asking it to wait.
             (Some(_), _) => Question { wait: Duration::ZERO, lost_after: LOST_AFTER },
-            (None, true) => Question { wait: WAIT_FIRST.mul_f64(shorter), lost_after: LOST_AFTER },
+            (None, true) => Question { wait: WAIT_FIRST.mul_f64(factor), lost_after: LOST_AFTER },
             (None, false) => {
-                let wait = WAIT_OTHERS.mul_f64(shorter);
+                let wait = WAIT_OTHERS.mul_f64(factor);
                 Question { wait, lost_after: wait + LOST_AFTER }
             }
         };
         self.question
     }
 
-    /// Notes that the question was answered. Gives how long the store had been away, if it had.
+    /// Records an answer. Returns how long the store had been unreachable, if it had been.
     pub fn answered(&mut self, now: Instant) -> Option<Duration> {
-        self.pause = PAUSE_MIN;
-        self.away_since.take().map(|since| now - since)
+        self.backoff = BACKOFF_MIN;
+        self.failing_since.take().map(|since| now - since)
     }
 
-    /// Notes that the question failed or was lost; `spread` is drawn from 0 to 1.
-    pub fn failed(&mut self, role: Role, spread: f64, now: Instant) -> Failure {
-        let is_new = self.away_since.is_none();
-        let since = *self.away_since.get_or_insert(now);
-        let waited = now - self.asked;
+    /// Records a failed or lost request; `jitter` is a random number from 0 to 1.
+    pub fn failed(&mut self, role: Role, jitter: f64, now: Instant) -> Failure {
+        let is_new = self.failing_since.is_none();
+        let since = *self.failing_since.get_or_insert(now);
+        let waited = now - self.sent_at;
         let is_lost = waited >= self.question.lost_after;
-        // Counted from the question: one that was lost has taken its time already.
-        let retry_at = self.asked + self.pause.mul_f64(0.5 + spread);
-        self.pause = (self.pause * 2).min(pause_max(role));
-        let is_away = is_lost || now - since > AWAY_AFTER;
+        // Measured from the request, as a lost one has already taken its time.
+        let retry_at = self.sent_at + self.backoff.mul_f64(0.5 + jitter);
+        self.backoff = (self.backoff * 2).min(backoff_max(role));
+        let is_away = is_lost || now - since > UNREACHABLE_AFTER;
         Failure { is_new, is_away, waited, retry_at: retry_at.max(now) }
     }
 }
 
-fn pause_max(role: Role) -> Duration {
+fn backoff_max(role: Role) -> Duration {
     match role {
-        Role::Follows => PAUSE_MAX,
-        Role::Substitutes | Role::Hears => PAUSE_MAX_INSTEAD,
+        Role::Follows => BACKOFF_MAX,
+        Role::Substitutes | Role::Hears => SUBSTITUTE_BACKOFF_MAX,
     }
 }
--- a/src/mesh/launch.rs
+++ b/src/mesh/launch.rs
@@ -1,4 +1,4 @@
-//! Starts and stops a node.
+//! Starts the services of a node and shuts them down.
 
 use std::convert::Infallible;
 use std::io;
@@ -22,15 +22,15 @@
 use super::overload::ADJUST_INTERVAL;
 use super::{ingress, peers, socket};
 
-/// How long a stopping node goes on taking requests. Callers learn that it stops when they ask
-/// whether it is ready, once a second, and believe the second "no".
-const STOP_TAKES_REQUESTS: Duration = Duration::from_millis(2_600);
-/// How much sooner than it would be killed a stopping node ends.
+/// How long a stopping node still accepts requests. Callers check readiness once a second and stop
+/// sending after the second negative answer.
+const STOP_ACCEPT_PERIOD: Duration = Duration::from_millis(2_600);
+/// How long before the end of the grace period a stopping node exits.
 const STOP_MARGIN: Duration = Duration::from_millis(300);
-/// How often a stopping node looks whether it has finished.
-const STOP_CHECK: Duration = Duration::from_millis(50);
+/// Interval at which a stopping node checks whether all work is done.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs `serve` for each connection to `listener`, with the path and the whole body of each request.
+/// Calls `answer` for each request on each connection to `listener`.
 pub async fn serve_simple<F, Fut>(log: EventLog, listener: TcpListener, answer: F)
 where
     F: Fn(http::Request<Incoming>) -> Fut + Clone + 'static,
@@ -51,37 +51,37 @@
                 async move { Ok::<_, Infallible>(answered.await) }
             });
             let builder = hyper::server::conn::http1::Builder::new();
-            // A connection that breaks concerns nobody else.
+            // Errors of one connection affect nothing else.
             drop(builder.serve_connection(TokioIo::new(stream), service).await);
         });
     }
 }
 
-/// Opens the node's listeners and serves them.
+/// Opens the node's listeners and spawns the tasks that serve them.
 pub fn start(node: &Rc<Node>) -> io::Result<()> {
     let listen = &node.settings.listen;
     let callers = socket::listen(listen.callers)?;
-    let others = socket::listen(listen.peers)?;
+    let peers_listener = socket::listen(listen.peers)?;
     let readiness = socket::listen(listen.readiness)?;
     let metrics = socket::listen(listen.metrics)?;
     spawn_local(ingress::accept(Rc::clone(node), callers));
-    spawn_local(peers::accept(Rc::clone(node), others));
+    spawn_local(peers::accept(Rc::clone(node), peers_listener));
     spawn_local(peers::watch_links(Rc::clone(node)));
-    let asked = Rc::clone(node);
-    let adjusted = Rc::clone(node);
+    let readiness_node = Rc::clone(node);
+    let adjusted_node = Rc::clone(node);
     spawn_local(async move {
         loop {
             sleep(ADJUST_INTERVAL).await;
-            adjusted.adjust();
+            adjusted_node.adjust();
         }
     });
     spawn_local(serve_simple(node.log.clone(), readiness, move |_| {
-        let is_ready = asked.is_ready();
+        let is_ready = readiness_node.is_ready();
         async move { status_only(if is_ready { 200 } else { 503 }) }
     }));
-    let scraped = Rc::clone(node);
+    let metrics_node = Rc::clone(node);
     spawn_local(serve_simple(node.log.clone(), metrics, move |_| {
-        let text = scraped.metrics.render(&scraped);
+        let text = metrics_node.metrics.render(&metrics_node);
         async move { http::Response::new(Full::new(text.into())) }
     }));
     Ok(())
@@ -95,8 +95,8 @@
     response
 }
 
-/// Waits until the node is told to stop, and then until it has finished. `on_reload` is called when
-/// the settings file has changed.
+/// Waits for SIGTERM, then drains the node. Calls `on_reload` on SIGHUP, which tells that the
+/// settings file has changed.
 pub async fn run_until_stopped(node: &Rc<Node>, on_reload: impl Fn()) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut reload = signal(SignalKind::hangup())?;
@@ -106,20 +106,20 @@
             _ = reload.recv() => on_reload(),
         }
     }
-    let told = Instant::now();
+    let stop_requested_at = Instant::now();
     let in_flight = node.in_flight.get() as u64;
     node.log.emit(&LogEvent::LeavingStarted { asked_by: "signal", in_flight });
     node.stop();
     let grace = Duration::from_millis(node.settings.timing.stop_grace_ms);
-    let end = told + grace.saturating_sub(STOP_MARGIN);
+    let end = stop_requested_at + grace.saturating_sub(STOP_MARGIN);
     while Instant::now() < end {
-        let is_quiet = node.in_flight.get() == 0 && node.serving.get() == 0;
-        if is_quiet && told.elapsed() >= STOP_TAKES_REQUESTS {
+        let is_idle = node.in_flight.get() == 0 && node.serving.get() == 0;
+        if is_idle && stop_requested_at.elapsed() >= STOP_ACCEPT_PERIOD {
             break;
         }
-        sleep(STOP_CHECK).await;
+        sleep(STOP_CHECK_INTERVAL).await;
     }
-    let took_ms = told.elapsed().as_millis() as u64;
+    let took_ms = stop_requested_at.elapsed().as_millis() as u64;
     let cut_off = (node.in_flight.get() + node.serving.get()) as u64;
     node.log.emit(&LogEvent::LeavingFinished { took_ms, cut_off });
     Ok(())
--- a/src/mesh/levels.rs
+++ b/src/mesh/levels.rs
@@ -1,8 +1,8 @@
-//! Refuses requests with a probability that follows the work of the targets: one way to decide what is
-//! admitted, kept to be compared with others.
+//! Admission policy that sheds requests at random, according to the load of the targets; kept for
+//! comparison with the default policy.
 //!
-//! A level is a number for each service: requests whose rank is below it are admitted, those of the
-//! rank that it cuts with the probability of its fraction, and all others are refused.
+//! Each service has a level: requests with a rank below it are admitted, those of the rank just
+//! above it with a probability equal to its fractional part, and all others are refused.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,40 +11,39 @@
 use super::overload::ServiceView;
 use super::site::Route;
 
-/// How much work the targets of a service should have, as a share of what they can run: enough that
-/// none is idle, little enough that a chain of ten calls still meets its objective.
-const WORK_WANTED: f64 = 1.0;
-/// How fast the level falls with the work beyond that, for each adjustment.
+/// Desired work of a service's targets, relative to their limit: enough to keep them busy, and
+/// little enough that a chain of ten calls meets its objective.
+const DESIRED_WORK: f64 = 1.0;
+/// Decrease of the level per unit of excess work, for each adjustment.
 const FALL_RATE: f64 = 0.15;
-/// The most that a level falls at once. What is refused now lightens the load only after the requests
-/// under way have ended, so a faster fall overshoots.
+/// Maximum decrease in one adjustment. Refusals reduce the load only after the requests in flight
+/// have ended, so larger steps would overshoot.
 const FALL_MAX: f64 = 0.15;
-/// How fast the level rises with the room that is left, for each adjustment.
+/// Increase of the level per unit of spare capacity, for each adjustment.
 const RISE_RATE: f64 = 0.12;
-/// The most that a level rises at once.
+/// Maximum increase in one adjustment.
 const RISE_MAX: f64 = 0.07;
-/// The lowest level: some requests of the most important rank always pass, to see what becomes of
-/// them.
+/// Minimum level: some requests of the most important rank always pass, to probe for recovery.
 const LEVEL_MIN: f64 = 0.2;
 
-/// The part of a busy service that each route may use whatever its rank. Refusing a route that uses
-/// less makes hardly any room for others, and no route is starved.
+/// Share of a busy service that each route may use regardless of its rank. Refusing a route that
+/// uses less would free hardly any capacity, and no route is starved.
 const RESERVED_SHARE: f64 = 0.10;
-/// How fast the probability moves that holds a route to that part, for each adjustment.
+/// Change in the probability that reserves this share, for each adjustment.
 const RESERVED_STEP: f64 = 0.05;
 
-/// What is known of a route by which requests begin.
+/// State of one original route.
 #[derive(Clone, Debug)]
 struct RootLevel {
-    /// The lowest level of the services that its requests reach.
+    /// Lowest level of the services that its requests reach.
     level: f64,
-    /// The service that has it; empty where all have room.
+    /// The service with that level; empty if none is limited.
     service: String,
-    /// The probability with which its requests are admitted at least.
+    /// Minimum probability with which its requests are admitted.
     reserved: f64,
 }
 
-/// The levels of the services, and what follows from them for each route.
+/// Levels of the services, and the resulting limits of each route.
 #[derive(Debug, Default)]
 pub struct Levels {
     by_service: RefCell<HashMap<String, f64>>,
@@ -52,8 +51,8 @@
 }
 
 impl Levels {
-    /// Adjusts the levels to what the services have to do. `top` is the level at which every rank
-    /// passes.
+    /// Adjusts the levels to the load of the services. `top` is the level at which all ranks are
+    /// admitted.
     pub fn adjust(&self, services: &HashMap<String, ServiceView>, top: f64) {
         let mut levels = self.by_service.borrow_mut();
         levels.retain(|service, _| services.contains_key(service));
@@ -64,7 +63,7 @@
         self.adjust_roots(services, &levels, top);
     }
 
-    /// Adjusts what is known of each route.
+    /// Adjusts the state of each route.
     fn adjust_roots(
         &self,
         services: &HashMap<String, ServiceView>,
@@ -90,14 +89,15 @@
             let known = entry.or_insert(unknown);
             known.level = level;
             service.clone_into(&mut known.service);
-            // While there is room nobody needs the reserve; it must not stand open when room ends.
-            let is_kept_out = !service.is_empty() && used < RESERVED_SHARE;
-            let change = if is_kept_out { RESERVED_STEP } else { -RESERVED_STEP };
+            // The reserve shrinks while there is spare capacity, so that it is not open when load
+            // rises.
+            let is_starved = !service.is_empty() && used < RESERVED_SHARE;
+            let change = if is_starved { RESERVED_STEP } else { -RESERVED_STEP };
             known.reserved = (known.reserved + change).clamp(0.0, 1.0);
         }
     }
 
-    /// The probability with which a request of a caller on `route`, of the given rank, is admitted.
+    /// Probability with which a caller's request on `route` with the given rank is admitted.
     pub fn admission_probability(&self, route: &Route, rank: u8) -> f64 {
         let by_level = self.level(route) - f64::from(rank);
         let reserved = self.by_root.borrow().get(&*route.name).map(|known| known.reserved);
@@ -110,7 +110,7 @@
         known.filter(|service| !service.is_empty())
     }
 
-    /// The lowest level of the services that requests of `route` reach.
+    /// Lowest level of the services that requests of `route` reach.
     fn level(&self, route: &Route) -> f64 {
         let levels = self.by_service.borrow();
         let own = route.split.iter().filter_map(|share| levels.get(&share.service).copied());
@@ -119,13 +119,13 @@
     }
 }
 
-/// How much a level changes for a service with the given work.
+/// Change of a service's level for the given load.
 fn step(load: Load) -> f64 {
     if load.limit == 0 {
         return 0.0;
     }
     let work = f64::from(load.running + load.waiting) / f64::from(load.limit);
-    let excess = work - WORK_WANTED;
+    let excess = work - DESIRED_WORK;
     if excess > 0.0 {
         -(excess * FALL_RATE).min(FALL_MAX)
     } else {
--- a/src/mesh/linger.rs
+++ b/src/mesh/linger.rs
@@ -1,4 +1,4 @@
-//! A stream whose closing lets the last answer arrive, and whose peer is watched meanwhile.
+//! A TCP stream that closes gracefully and can detect that its peer has gone.
 
 use std::future::pending;
 use std::io;
@@ -15,48 +15,49 @@
 use tokio::time::{Sleep, sleep};
 
 /// How long the peer may take to close a connection that the node has closed.
-const LINGER: Duration = Duration::from_secs(2);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A TCP stream that, once shut down, reads and drops what the peer still sends until it closes.
+/// A TCP stream that, after shutdown, discards incoming bytes until the peer closes it.
 ///
-/// With requests behind the last one unread, closing at once would reset the connection, and the
-/// reset would take back an answer that has not been read yet.
+/// Closing a socket with unread bytes resets the connection, and a reset can destroy an answer that
+/// the peer has not read yet.
 #[derive(Debug)]
 pub struct LingeringStream {
     reader: OwnedReadHalf,
     writer: Rc<OwnedWriteHalf>,
-    /// When the peer is cut off; set once the node's side is closed.
-    cut_off: Option<Pin<Box<Sleep>>>,
+    /// Timer after which the peer is disconnected; set once the node has closed its side.
+    linger_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl LingeringStream {
     /// Wraps a stream.
     pub fn new(stream: TcpStream) -> Self {
         let (reader, writer) = stream.into_split();
-        Self { reader, writer: Rc::new(writer), cut_off: None }
+        Self { reader, writer: Rc::new(writer), linger_timer: None }
     }
 
-    /// Tells whether the peer is still there.
+    /// Returns a watch on the peer's side of the connection.
     pub fn peer(&self) -> PeerWatch {
         PeerWatch(Rc::clone(&self.writer))
     }
 }
 
-/// Tells whether the peer of a stream is still there, even while nobody reads what it has sent.
+/// Detects that the peer of a stream has gone, even while there are unread bytes.
 #[derive(Clone, Debug)]
 pub struct PeerWatch(Rc<OwnedWriteHalf>);
 
 impl PeerWatch {
     /// Waits until the peer has closed or reset the connection.
     pub async fn closed(&self) {
-        // Unread bytes leave a socket readable, so waiting for that would return at once.
+        // A socket with unread bytes stays readable, so waiting for readability would return at
+        // once.
         match self.0.ready(Interest::PRIORITY).await {
             Ok(ready) if !ready.is_read_closed() => pending().await,
             Ok(_) | Err(_) => {}
         }
     }
 
-    /// Whether the peer has closed or reset the connection, as far as the runtime has been told.
+    /// Whether the runtime has been told that the peer has closed or reset the connection.
     pub fn has_closed(&self) -> bool {
         pin!(self.closed()).poll(&mut Context::from_waker(Waker::noop())).is_ready()
     }
@@ -86,18 +87,18 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.cut_off.is_none() {
+        if self.linger_timer.is_none() {
             SockRef::from((*self.writer).as_ref()).shutdown(Shutdown::Write)?;
-            self.cut_off = Some(Box::pin(sleep(LINGER)));
+            self.linger_timer = Some(Box::pin(sleep(LINGER_TIMEOUT)));
         }
         let mut scratch = [0; 4096];
         loop {
-            if self.cut_off.as_mut().is_some_and(|at| at.as_mut().poll(context).is_ready()) {
+            if self.linger_timer.as_mut().is_some_and(|at| at.as_mut().poll(context).is_ready()) {
                 return Poll::Ready(Ok(()));
             }
-            let mut rest = ReadBuf::new(&mut scratch);
-            ready!(Pin::new(&mut self.reader).poll_read(context, &mut rest))?;
-            if rest.filled().is_empty() {
+            let mut discarded = ReadBuf::new(&mut scratch);
+            ready!(Pin::new(&mut self.reader).poll_read(context, &mut discarded))?;
+            if discarded.filled().is_empty() {
                 return Poll::Ready(Ok(()));
             }
         }
@@ -116,7 +117,7 @@
     }
 }
 
-/// Writes with `write` once the socket takes bytes.
+/// Calls `write` once the socket is writable.
 fn poll_write_with(
     writer: &OwnedWriteHalf,
     context: &mut Context<'_>,
--- a/src/mesh/link.rs
+++ b/src/mesh/link.rs
@@ -1,4 +1,4 @@
-//! One connection to another node: frames in both directions, and calls that wait for their answer.
+//! A connection to another node, which carries frames in both directions and tracks pending calls.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,32 +16,32 @@
 use super::codec::{Decoder, Encoder};
 use super::frame::{Call, CallEnd, Doubt, Frame, NotRun};
 
-/// What is read at once from a link that brings a lot, in bytes.
+/// Size of a read on a busy link, in bytes.
 const READ_BYTES: usize = 64 * 1024;
-/// What is read at once from any other, in bytes: a node has hundreds of links, and most are idle.
+/// Size of a read on any other link, in bytes: a node has hundreds of links, most of them idle.
 const READ_IDLE_BYTES: usize = 4 * 1024;
-/// The most bytes that may wait to be written before calls are refused.
-const UNWRITTEN_MAX_BYTES: usize = 16 * 1024 * 1024;
-/// The capacity above which a drained buffer is given back, in bytes.
+/// Size of the write buffer above which calls are refused, in bytes.
+const WRITE_BUFFER_MAX_BYTES: usize = 16 * 1024 * 1024;
+/// Capacity above which an empty buffer is freed, in bytes.
 const KEPT_BUFFER_BYTES: usize = 32 * 1024;
 
-/// One connection to another node.
+/// A connection to another node.
 #[derive(Debug)]
 pub struct Link {
     encoder: RefCell<Encoder>,
-    unwritten: RefCell<BytesMut>,
-    has_unwritten: Notify,
+    write_buffer: RefCell<BytesMut>,
+    has_frames: Notify,
     pending: RefCell<HashMap<u64, oneshot::Sender<CallEnd>>>,
     next_id: Cell<u64>,
     heard: Cell<Instant>,
-    has_heard: Cell<bool>,
-    /// When the other end was asked for a sign of life that has not come.
-    asked: Cell<Option<Instant>>,
+    has_received: Cell<bool>,
+    /// When the oldest unanswered ping was sent.
+    oldest_ping: Cell<Option<Instant>>,
     is_open: Cell<bool>,
     closed: Notify,
 }
 
-/// A call that waits for its answer; the other node is told when nobody waits any more.
+/// A call that waits for its answer. Dropping it cancels the call at the other node.
 pub struct PendingCall {
     link: Rc<Link>,
     id: u64,
@@ -50,7 +50,7 @@
 }
 
 impl PendingCall {
-    /// Waits for the end of the call.
+    /// Waits for the result of the call.
     pub async fn end(&mut self) -> CallEnd {
         let end = (&mut self.end).await;
         self.is_done = true;
@@ -70,19 +70,19 @@
 }
 
 impl Link {
-    /// A link over `stream`, with the half that reads. The half that writes is served by a task of
-    /// its own until the link closes.
+    /// Starts a link over `stream` and returns it with the read half. A task of its own serves the
+    /// write half until the link closes.
     pub fn start(stream: TcpStream) -> (Rc<Self>, OwnedReadHalf) {
         let (reader, writer) = stream.into_split();
         let link = Rc::new(Self {
             encoder: RefCell::default(),
-            unwritten: RefCell::default(),
-            has_unwritten: Notify::new(),
+            write_buffer: RefCell::default(),
+            has_frames: Notify::new(),
             pending: RefCell::default(),
             next_id: Cell::new(1),
             heard: Cell::new(Instant::now()),
-            has_heard: Cell::default(),
-            asked: Cell::default(),
+            has_received: Cell::default(),
+            oldest_ping: Cell::default(),
             is_open: Cell::new(true),
             closed: Notify::new(),
         });
@@ -95,25 +95,25 @@
         self.is_open.get()
     }
 
-    /// When anything was last read.
+    /// When bytes were last received.
     pub fn heard(&self) -> Instant {
         self.heard.get()
     }
 
-    /// Whether something is to come from the other end: an answer, or its first word.
+    /// Whether the other node has yet to send its first frame or the answer to a call.
     pub fn is_awaiting(&self) -> bool {
-        !self.has_heard.get() || !self.pending.borrow().is_empty()
+        !self.has_received.get() || !self.pending.borrow().is_empty()
     }
 
-    /// Asks the other end for a sign of life.
+    /// Sends a ping.
     pub fn ping(&self) {
-        self.asked.set(Some(self.asked.get().unwrap_or_else(Instant::now)));
+        self.oldest_ping.set(Some(self.oldest_ping.get().unwrap_or_else(Instant::now)));
         self.send(&Frame::Ping);
     }
 
-    /// For how long the other end has left unanswered that it was asked for a sign of life.
+    /// How long the oldest ping has been unanswered.
     pub fn unanswered(&self) -> Duration {
-        self.asked.get().map_or(Duration::ZERO, |asked| asked.elapsed())
+        self.oldest_ping.get().map_or(Duration::ZERO, |oldest_ping| oldest_ping.elapsed())
     }
 
     /// Queues a frame.
@@ -121,13 +121,13 @@
         if !self.is_open.get() {
             return;
         }
-        self.encoder.borrow_mut().encode(frame, &mut self.unwritten.borrow_mut());
-        self.has_unwritten.notify_one();
+        self.encoder.borrow_mut().encode(frame, &mut self.write_buffer.borrow_mut());
+        self.has_frames.notify_one();
     }
 
-    /// Sends a call, whose number is set here.
+    /// Sends a call and assigns its id.
     pub fn call(self: &Rc<Self>, mut call: Call) -> Result<PendingCall, NotRun> {
-        if !self.is_open.get() || self.unwritten.borrow().len() > UNWRITTEN_MAX_BYTES {
+        if !self.is_open.get() || self.write_buffer.borrow().len() > WRITE_BUFFER_MAX_BYTES {
             return Err(NotRun::Unsent);
         }
         let id = self.next_id.get();
@@ -139,24 +139,24 @@
         Ok(PendingCall { link: Rc::clone(self), id, end, is_done: false })
     }
 
-    /// Gives a call its end; one that nobody waits for any more is dropped.
+    /// Completes a pending call; does nothing if it was cancelled.
     pub fn end_call(&self, id: u64, end: CallEnd) {
         if let Some(pending) = self.pending.borrow_mut().remove(&id) {
             drop(pending.send(end));
         }
     }
 
-    /// Closes the link. What waits for an answer may have run.
+    /// Closes the link. Pending calls may have run.
     pub fn close(&self) {
         if !self.is_open.replace(false) {
             return;
         }
         self.pending.borrow_mut().clear();
         self.closed.notify_waiters();
-        self.has_unwritten.notify_one();
+        self.has_frames.notify_one();
     }
 
-    /// Reads frames and hands them to `take` until the link ends; says why it did.
+    /// Reads frames and passes them to `take` until the link closes; returns the cause.
     pub async fn read_all(
         &self,
         mut reader: OwnedReadHalf,
@@ -190,7 +190,7 @@
                 Ok(0) => break io::ErrorKind::UnexpectedEof.into(),
                 Ok(length) => {
                     is_busy = length == room;
-                    self.note_heard();
+                    self.record_received();
                 }
                 Err(error) => break error,
             }
@@ -199,19 +199,19 @@
         error
     }
 
-    fn note_heard(&self) {
+    fn record_received(&self) {
         self.heard.set(Instant::now());
-        self.has_heard.set(true);
-        self.asked.set(None);
+        self.has_received.set(true);
+        self.oldest_ping.set(None);
     }
 
-    /// Writes what is queued, all frames of one moment at once.
+    /// Writes queued frames, batching those that are queued at the same time.
     async fn write_all(self: Rc<Self>, mut writer: OwnedWriteHalf) {
         let mut batch = BytesMut::new();
         loop {
-            self.has_unwritten.notified().await;
+            self.has_frames.notified().await;
             loop {
-                std::mem::swap(&mut batch, &mut *self.unwritten.borrow_mut());
+                std::mem::swap(&mut batch, &mut *self.write_buffer.borrow_mut());
                 if batch.is_empty() || !self.is_open.get() {
                     break;
                 }
