--- a/tests/mesh/crashes.rs
+++ b/tests/mesh/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that end the targets that begin to run them, and requests that only ran beside.
+//! Requests that crash the targets that run them, and requests that run at the same time.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 
 use super::support::{CRASHES, Reaction, TestNode, ask, link_nodes, request, run, start, status};
 
-/// A target that ends 15 ms after it has begun on a request that crashes it; others take 5 ms.
+/// A target that crashes 15 ms after it has started a crashing request; others take 5 ms.
 const CRASHABLE: Reaction = Reaction::CrashOn(15, 5);
-/// How many targets a request may end before it is known for it.
-const CRASHES_KNOWN_AFTER: usize = 3;
-/// How often it may be sent to targets after that.
-const REPEATS_MAX: usize = 3;
-/// How many requests run beside it.
-const BESIDE: usize = 40;
-/// How often the caller comes back with it.
+/// Number of crashes after which a request is quarantined.
+const QUARANTINED_AFTER: usize = 3;
+/// Number of times it may still be sent to targets after that.
+const RETRIES_MAX: usize = 3;
+/// Number of requests that run concurrently.
+const CONCURRENT: usize = 40;
+/// Number of times the caller retries it.
 const ATTEMPTS: usize = 12;
 
-/// Nodes of `stock` that know each other.
-async fn site(names: &[&str]) -> Vec<TestNode> {
+/// Nodes of `stock` that are linked with each other.
+async fn start_linked(names: &[&str]) -> Vec<TestNode> {
     let mut nodes: Vec<TestNode> = Vec::new();
     for name in names {
         let node = start(name, "stock", vec![CRASHABLE]).await;
@@ -35,7 +35,7 @@
     nodes
 }
 
-/// How often requests with `part` in their first line have reached targets.
+/// Number of requests with `part` in their first line that have reached targets.
 fn arrivals(nodes: &[TestNode], part: &str) -> usize {
     let seen = |node: &TestNode| {
         let seen = node.target.seen.borrow();
@@ -46,52 +46,49 @@
     nodes.iter().map(seen).sum()
 }
 
-/// The request that ends targets.
+/// A request that crashes targets.
 fn crashing(attempt: usize) -> String {
     let id = format!("c{attempt}");
     format!("GET /read/{CRASHES}?x=1 HTTP/1.1\r\nhost: shop.test\r\nx-attempt: {id}\r\n\r\n")
 }
 
-/// Callers of one service got nothing but refusals for seconds, several times a day. One read ended
-/// each target that began to run it. Its node offered it to the next target, the caller came back with it
-/// at another node, and by each wave all targets of the service were gone.
-///
-/// The cause: that a target ended was known for a moment and beside that target only, and an attempt had no more
-/// in common with the next than its path; nobody remembered what a request had done. Evidence: the fingerprint
-/// of what the targets broke off, and this test: 25 to 27 ends by one request before, 3 after.
+/// One read crashed each target that began to run it. Its node retried it on the next target, and
+/// the caller retried it at other nodes, until no target of the service was left. Crashes must be
+/// remembered by the fingerprint of the interrupted requests and shared between nodes; without
+/// that, one request caused 25 to 27 crashes here, with it 3.
 #[test]
-fn a_request_that_ended_three_targets_is_held_back_wherever_it_comes() {
+fn a_request_that_crashed_three_targets_is_quarantined_on_all_nodes() {
     run(async {
-        let nodes = site(&["stock-1", "stock-2", "stock-3", "stock-4"]).await;
+        let nodes = start_linked(&["stock-1", "stock-2", "stock-3", "stock-4"]).await;
         for attempt in 0..ATTEMPTS {
             let entry = &nodes[attempt % nodes.len()];
             let answer = ask(entry, &crashing(attempt)).await;
             assert_ne!(status(&answer), 200);
             sleep(Duration::from_millis(100)).await;
         }
-        let ended = arrivals(&nodes, CRASHES);
-        let allowed = CRASHES_KNOWN_AFTER + REPEATS_MAX;
-        assert!(ended <= allowed, "it was sent to targets {ended} times, {allowed} are allowed");
+        let crashed = arrivals(&nodes, CRASHES);
+        let allowed = QUARANTINED_AFTER + RETRIES_MAX;
+        assert!(crashed <= allowed, "sent to targets {crashed} times, at most {allowed} allowed");
         assert_eq!(status(&ask(&nodes[0], &request("read", "a1")).await), 200);
     });
 }
 
-/// A request that only runs beside the one that ends targets.
-fn beside(number: usize, attempt: &str) -> String {
+/// A request that runs at the same time as the crashing one.
+fn concurrent(number: usize, attempt: &str) -> String {
     format!("GET /read/beside-{number} HTTP/1.1\r\nhost: shop.test\r\nx-attempt: {attempt}\r\n\r\n")
 }
 
-/// Beside the request that ends targets, others run, are cut off with it, and come back like it. They are
-/// served, however often that was.
+/// Other requests run when targets crash, are interrupted and are retried as well. They must still
+/// be served, however often that happens.
 #[test]
-fn requests_that_only_ran_beside_crashes_go_on_being_served() {
+fn requests_running_during_crashes_are_still_served() {
     run(async {
-        let nodes = site(&["stock-1", "stock-2", "stock-3", "stock-4"]).await;
+        let nodes = start_linked(&["stock-1", "stock-2", "stock-3", "stock-4"]).await;
         for attempt in 0..ATTEMPTS {
             let mut running = Vec::new();
-            for number in 0..BESIDE {
+            for number in 0..CONCURRENT {
                 let entry = nodes[number % nodes.len()].clone();
-                let text = beside(number, &format!("b{attempt}-{number}"));
+                let text = concurrent(number, &format!("b{attempt}-{number}"));
                 running.push(spawn_local(async move { ask(&entry, &text).await }));
             }
             ask(&nodes[attempt % nodes.len()], &crashing(attempt)).await;
@@ -101,20 +98,20 @@
             sleep(Duration::from_millis(100)).await;
         }
         sleep(Duration::from_millis(300)).await;
-        for number in 0..BESIDE {
-            let text = beside(number, &format!("z{number}"));
+        for number in 0..CONCURRENT {
+            let text = concurrent(number, &format!("z{number}"));
             let answer = ask(&nodes[number % nodes.len()], &text).await;
-            assert_eq!(status(&answer), 200, "beside-{number} is refused: {answer}");
+            assert_eq!(status(&answer), 200, "request {number} was refused: {answer}");
         }
     });
 }
 
-/// It takes a moment until it is known that a target has ended. In that moment a request beside which others
-/// had ended was sent to the next target, and ended it, too.
+/// Detecting a crash takes a moment. A suspect request must not be sent to the next target before
+/// that, as it would crash that one too.
 #[test]
-fn a_suspect_is_not_sent_on_before_it_is_known_whether_its_target_has_ended() {
+fn a_suspect_is_not_retried_before_the_crash_check() {
     run(async {
-        let nodes = site(&["stock-1", "stock-2", "stock-3"]).await;
+        let nodes = start_linked(&["stock-1", "stock-2", "stock-3"]).await;
         let fingerprint = Fingerprint::of(
             "GET",
             &format!("/read/{CRASHES}?x=1"),
@@ -127,20 +124,20 @@
                 blame::take_crash(&node.node, &Crash { requests: vec![fingerprint], held: None });
             }
         }
-        // Enough for the budget to allow repeats.
+        // Earns enough budget for retries.
         for number in 0..60 {
             ask(&nodes[0], &request("read", &format!("a{number}"))).await;
         }
         assert_eq!(status(&ask(&nodes[0], &crashing(1)).await), 502, "it may have run");
         assert_eq!(arrivals(&nodes, CRASHES), 1);
         sleep(Duration::from_millis(100)).await;
-        assert_eq!(status(&ask(&nodes[0], &crashing(2)).await), 503, "it is held back");
+        assert_eq!(status(&ask(&nodes[0], &crashing(2)).await), 503, "it is quarantined");
         assert_eq!(arrivals(&nodes, CRASHES), 1);
     });
 }
 
-/// A request that ended targets was turned away by a full target, and failed once because a call made for it
-/// found no room; either took the suspicion from it, and it ended three more.
+/// A suspect that was rejected by a full target, or failed because one of its own calls was shed,
+/// must remain suspect: clearing it in either case led to three more crashes.
 #[test]
 fn only_a_success_clears_a_suspect() {
     run(async {
@@ -162,15 +159,15 @@
     });
 }
 
-/// One request, sent by four entries at once, ended 6 of 8 targets: each entry repeated it at once, before the
-/// news of the ends could come. A repeat now waits until it is known whether the target has ended, and by then
-/// four ends are known too. What the entries had sent before the first end cannot be taken back.
+/// Four entry nodes sent the same request at once and retried it before they had heard of each
+/// other's crashes, which crashed 6 of 8 targets. A retry must wait for the crash check, by which
+/// time the other crashes are known. The four first attempts can't be prevented.
 #[test]
-fn copies_sent_at_once_are_not_repeated_after_their_targets_have_ended() {
+fn concurrent_copies_are_not_retried_after_their_targets_crash() {
     run(async {
         let names: Vec<String> = (1..9).map(|number| format!("stock-{number}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        let nodes = site(&names).await;
+        let nodes = start_linked(&names).await;
         let mut sent = Vec::new();
         for (number, entry) in nodes.iter().take(4).enumerate() {
             let entry = entry.clone();
@@ -183,11 +180,11 @@
     });
 }
 
-/// Two targets of a service were left, a request ended one of them, and its repeat the other.
+/// With two targets left, a request crashed one, and its retry must not crash the other.
 #[test]
-fn a_request_that_ended_a_target_is_not_repeated_on_the_last_one() {
+fn a_request_that_crashed_a_target_is_not_retried_on_the_last_one() {
     run(async {
-        let nodes = site(&["stock-1", "stock-2"]).await;
+        let nodes = start_linked(&["stock-1", "stock-2"]).await;
         assert_eq!(status(&ask(&nodes[0], &crashing(1)).await), 502, "it may have run");
         assert_eq!(arrivals(&nodes, CRASHES), 1);
         assert_eq!(status(&ask(&nodes[0], &request("read", "a1")).await), 200);
--- a/tests/mesh/decisions.rs
+++ b/tests/mesh/decisions.rs
@@ -1,4 +1,4 @@
-//! Routes, the queue, and what is admitted under overload.
+//! Route lookup, the concurrency limiter's queue, and admission under overload.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_queue_prefers_rank_but_lets_nobody_wait_for_ever() {
+fn the_queue_prefers_rank_without_starvation() {
     paused(async {
         let gate: Rc<Gate> = Rc::default();
         gate.set_slots(1);
@@ -97,8 +97,9 @@
     ServiceView { load: Load { running, waiting, limit: 100 }, roots }
 }
 
-/// The probabilities of admission for `browse` (rank 2), `look` (rank 1) and `confirm` (rank 0) of
-/// the service `page`, all of which reach `stock`, after that had the given work for `steps`.
+/// Admission probabilities for `browse` (rank 2), `look` (rank 1) and `confirm` (rank 0) of the
+/// service `page`, all of which reach `stock`, after `steps` adjustments with the given load of
+/// `stock`.
 fn passing(overload: &Overload, stock: &ServiceView, steps: usize) -> [f64; 3] {
     let roots = [("browse", 0), ("look", 0), ("confirm", 0)];
     let services = HashMap::from([
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn the_least_important_routes_that_reach_a_busy_service_are_refused_first() {
+fn the_least_important_routes_to_a_busy_service_are_refused_first() {
     let overload = Overload::new(Policy::Levels);
     let busy = view(100, 200, &[("browse", 60), ("look", 20), ("confirm", 20)]);
     let [browse, look, confirm] = passing(&overload, &busy, 4);
@@ -128,26 +129,26 @@
     assert_eq!(confirm, 1.0);
     let upload = route("upload", "other", RouteKind::AtMostOnce, 2);
     assert_eq!(overload.admission_probability(&upload), 1.0, "it does not reach the busy service");
-    // Admission comes back once there is room.
+    // Requests are admitted again once there is capacity.
     let [browse, ..] = passing(&overload, &view(20, 0, &[("browse", 20)]), 60);
     assert_eq!(browse, 1.0);
 }
 
 #[test]
-fn a_route_that_uses_little_of_a_busy_service_is_not_refused_for_it() {
+fn a_route_that_uses_little_of_a_busy_service_is_not_refused() {
     let overload = Overload::new(Policy::Levels);
     let busy = view(100, 200, &[("browse", 0), ("look", 5), ("confirm", 95)]);
     let [_, look, confirm] = passing(&overload, &busy, 60);
-    assert_eq!(look, 1.0, "refusing it would make room for hardly anything");
+    assert_eq!(look, 1.0, "refusing it would free hardly any capacity");
     assert!(confirm < 0.5, "{confirm}");
-    assert!(confirm > 0.0, "some pass, to see what becomes of them");
+    assert!(confirm > 0.0, "some pass, to probe for recovery");
     let heavy = view(100, 200, &[("browse", 0), ("look", 50), ("confirm", 50)]);
     let [_, look, _] = passing(&overload, &heavy, 60);
     assert_eq!(look, 0.0);
 }
 
 #[test]
-fn what_is_reserved_does_not_stand_open_when_room_ends() {
+fn the_reserve_is_closed_when_load_rises() {
     let overload = Overload::new(Policy::Levels);
     let calm = view(50, 0, &[("browse", 40), ("look", 5), ("confirm", 5)]);
     passing(&overload, &calm, 60);
@@ -165,13 +166,13 @@
 }
 
 #[test]
-fn what_is_in_flight_is_bounded_by_what_it_showed_to_be_bearable() {
+fn requests_in_flight_are_limited_to_the_learned_capacity() {
     let overload = Overload::new(Policy::Windows);
     let (browse, confirm) = low_and_high();
     let mut rng = SmallRng::seed_from_u64(1);
     let mut held = Vec::new();
     for _ in 0..20 {
-        held.push(overload.admit(&browse, browse.rank, &mut rng).expect("nothing is known yet"));
+        held.push(overload.admit(&browse, browse.rank, &mut rng).expect("no load is known yet"));
     }
     let roots = [("browse", 50), ("confirm", 0)];
     let calm = HashMap::from([("stock".to_owned(), view(50, 0, &roots))]);
@@ -179,24 +180,24 @@
         overload.adjust(&calm, 2, 1);
     }
     assert_eq!(overload.admission_probability(&browse), 1.0);
-    // Twice as many would fill the targets, and four times as many are asked for at once.
+    // Twice as many would fill the targets; four times as many are sent at once.
     for _ in 0..60 {
         held.extend(overload.admit(&browse, browse.rank, &mut rng));
     }
-    // Some more than that pass, as so many are at once by chance.
+    // Somewhat more are admitted, as the limit leaves headroom for random peaks.
     assert!((40..60).contains(&held.len()), "{}", held.len());
     assert_eq!(
         overload.admission_probability(&confirm),
         1.0,
-        "some room is left to the most important"
+        "some capacity is left to the most important rank"
     );
-    // What is admitted counts until it has its answer.
+    // Admitted requests count until they are answered.
     held.truncate(20);
     assert_eq!(overload.admission_probability(&browse), 1.0);
 }
 
 #[test]
-fn an_entry_that_has_just_started_admits_its_share_of_what_there_is() {
+fn a_new_entry_node_admits_its_share_of_the_capacity() {
     let overload = Overload::new(Policy::Windows);
     let browse = route("browse", "page", RouteKind::Idempotent, 0);
     let services = HashMap::from([("stock".to_owned(), view(10, 0, &[("browse", 10)]))]);
@@ -208,15 +209,16 @@
     for _ in 0..200 {
         held.extend(overload.admit(&browse, browse.rank, &mut rng));
     }
-    // Of 100 slots a quarter is this entry's, and a request is there for part of its time only.
+    // This entry's share is a quarter of 100 slots, and each request occupies a slot for part of
+    // its time only.
     assert!((50..90).contains(&held.len()), "{}", held.len());
 }
 
-/// After a restart of all nodes the one target of a service may be overwhelmed before any entry has learnt
-/// how much it bears; then nothing can be learnt, since queues grow. The share that an entry takes for
-/// fair must shrink all the same, or the queue stays.
+/// After a restart of all nodes, the only target of a service may be overloaded before any entry
+/// node has learned its capacity, and nothing can be learned while queues grow. The default share
+/// of an entry node must shrink then too, or the queue never drains.
 #[test]
-fn an_entry_that_learnt_nothing_admits_less_while_queues_grow() {
+fn an_entry_node_without_estimates_admits_less_while_queues_grow() {
     let overload = Overload::new(Policy::Windows);
     let browse = route("browse", "page", RouteKind::Idempotent, 0);
     let overwhelmed = HashMap::from([("stock".to_owned(), view(100, 90, &[("browse", 100)]))]);
@@ -230,17 +232,21 @@
     }
     assert!(
         overload.admission_probability(&browse) < 1.0,
-        "a fair share is 50, and queues have grown for 2 s"
+        "the default share is 50, and queues have grown for 2 s"
     );
     held.truncate(25);
     for _ in 0..10 {
         overload.adjust(&overwhelmed, 0, 4);
     }
-    assert_eq!(overload.admission_probability(&browse), 0.0, "half of it is still too much");
+    assert_eq!(
+        overload.admission_probability(&browse),
+        0.0,
+        "half of the default share is still too much"
+    );
 }
 
 #[test]
-fn a_route_of_low_rank_keeps_its_reserve_while_the_others_fill_the_bound() {
+fn a_route_of_low_rank_keeps_its_reserve_while_the_others_fill_the_limit() {
     let overload = Overload::new(Policy::Windows);
     let (browse, confirm) = low_and_high();
     let mut rng = SmallRng::seed_from_u64(1);
@@ -255,7 +261,7 @@
             overload.adjust(&services, 2, 1);
         }
     }
-    assert!(overload.admission_probability(&confirm) < 1.0, "the bound is full");
+    assert!(overload.admission_probability(&confirm) < 1.0, "the limit is reached");
     let mut passed = Vec::new();
     for _ in 0..100 {
         passed.extend(overload.admit(&browse, browse.rank, &mut rng));
@@ -264,7 +270,7 @@
 }
 
 #[test]
-fn nothing_is_refused_before_anything_is_known() {
+fn requests_are_admitted_before_any_load_is_known() {
     let overload = Overload::default();
     let mut rng = SmallRng::seed_from_u64(1);
     assert!(
--- a/tests/mesh/exchange.rs
+++ b/tests/mesh/exchange.rs
@@ -1,4 +1,4 @@
-//! Answers of a target that are cut, spoilt, late or doubled.
+//! The HTTP client with answers that are truncated, malformed, late or duplicated.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 
 const HEAD: &[u8] = b"GET / HTTP/1.1\r\nhost: t\r\n\r\n";
 
-/// A server that writes `answers` one after the other: each once something was read.
+/// A server that sends the next of `answers` each time it has read something.
 async fn serve(answers: Vec<&'static [u8]>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn whole_answers_of_each_framing_are_taken() {
+fn complete_answers_of_each_framing_are_accepted() {
     run(async {
         let reply = first(b"HTTP/1.1 200 OK\r\nX-Attempt: 1\r\ncontent-length: 2\r\n\r\nok").await;
         let reply = reply.unwrap();
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn answers_that_are_cut_or_spoilt_are_errors() {
+fn truncated_or_malformed_answers_are_errors() {
     run(async {
         for answer in [
             &b"HTTP/1.1 200 OK\r\nx-attempt: 1\r\ncontent-length: 9\r\n\r\nok"[..],
@@ -69,13 +69,13 @@
             b"\x00\x01\x02 this is nothing\r\n\r\n",
         ] {
             let text = String::from_utf8_lossy(answer).into_owned();
-            assert!(first(answer).await.is_err(), "taken as whole: {text}");
+            assert!(first(answer).await.is_err(), "accepted: {text}");
         }
     });
 }
 
 #[test]
-fn a_late_second_answer_is_skipped_and_the_right_one_taken() {
+fn a_late_duplicate_answer_is_skipped() {
     run(async {
         let address = serve(vec![
             b"HTTP/1.1 200 OK\r\nx-attempt: 1\r\ncontent-length: 3\r\n\r\none",
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_connection_on_which_something_came_unasked_is_not_used_again() {
+fn a_connection_with_unsolicited_bytes_is_not_reused() {
     run(async {
         let address = serve(vec![
             b"HTTP/1.1 200 OK\r\nx-attempt: 1\r\ncontent-length: 3\r\n\r\noneHTTP/1.1 200 OK\r\n",
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_connection_is_not_used_past_the_time_its_peer_keeps_it() {
+fn a_connection_is_not_reused_after_its_keep_alive_timeout() {
     run(async {
         let address = serve(vec![
             b"HTTP/1.1 200 OK\r\nx-attempt: 1\r\nkeep-alive: timeout=0\r\ncontent-length: 0\r\n\r\n",
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn an_answer_before_the_body_was_written_ends_the_use_of_the_connection() {
+fn an_answer_before_the_whole_body_was_written_prevents_reuse() {
     run(async {
         let early = b"HTTP/1.1 400 X\r\nx-attempt: 1\r\ncontent-length: 0\r\n\r\n";
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -126,19 +126,19 @@
         spawn_local(async move {
             let (mut stream, _) = listener.accept().await.unwrap();
             stream.write_all(early).await.unwrap();
-            // Reads nothing, and keeps the connection.
+            // Reads nothing and keeps the connection open.
             std::future::pending::<()>().await;
         });
         let mut connection = Connection::open(address).await.unwrap();
         let body = vec![b'x'; 16 * 1024 * 1024];
-        let is_mine = |reply: &Reply| reply.header("x-attempt") == Some("1");
-        let reply = connection.exchange(&Method::POST, HEAD, &body, is_mine).await.unwrap();
+        let accepts = |reply: &Reply| reply.header("x-attempt") == Some("1");
+        let reply = connection.exchange(&Method::POST, HEAD, &body, accepts).await.unwrap();
         assert_eq!((reply.status, reply.is_reusable), (400, false));
     });
 }
 
 #[test]
-fn a_request_that_could_not_be_written_whole_ends_the_use_of_the_connection() {
+fn a_partially_written_request_prevents_reuse() {
     run(async {
         let reply = || Reply { status: 400, headers: vec![], body: "".into(), is_reusable: true };
         let answer_later = async || {
--- a/tests/mesh/links.rs
+++ b/tests/mesh/links.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other, and how that grows with their number.
+//! Status and load updates between nodes, and how their volume scales with the number of nodes.
 
 use std::time::Duration;
 
@@ -19,71 +19,76 @@
     Reaction, ask, incarnation, link_nodes, request, run, start, status, unused_address,
 };
 
-/// How often a node looks whether a report is due.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which a node checks whether an update is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What one listener hears of the targets of one service.
-struct Heard {
-    reports_a_second: f64,
-    /// By how much the work that was told differs in the mean from what there is, as a share of the slots.
-    off_by: f64,
+/// What one node receives about the targets of a service.
+struct Received {
+    updates_per_s: f64,
+    /// Mean error of the reported total load, as a fraction of the slots.
+    mean_error: f64,
 }
 
-/// Plays 40 s of `targets` targets with 44 slots whose work wanders around `mean`, a share of the slots.
-fn listen(targets: usize, mean: f64, rng: &mut SmallRng) -> Heard {
+/// Simulates 40 s of `targets` targets with 44 slots each, whose load varies randomly around
+/// `mean`, a fraction of the slots.
+fn simulate(targets: usize, mean: f64, rng: &mut SmallRng) -> Received {
     const SLOTS: f64 = 44.0;
-    const LOOKS: u32 = 400;
-    /// Until everybody has told something.
-    const SETTLED: u32 = 50;
+    const CHECKS: u32 = 400;
+    /// Number of checks until each target has sent an update.
+    const WARM_UP_CHECKS: u32 = 50;
     let began = Instant::now();
     let mut reports = vec![LoadReport::default(); targets];
-    let mut told = vec![0.0; targets];
+    let mut reported = vec![0.0; targets];
     let mut work = vec![mean * SLOTS; targets];
-    let (mut count, mut off_by) = (0, 0.0);
-    for look in 0..LOOKS {
-        let now = began + LOOK_EVERY * look;
+    let (mut count, mut mean_error) = (0, 0.0);
+    for check in 0..CHECKS {
+        let now = began + CHECK_INTERVAL * check;
         for target in 0..targets {
             let step = rng.random_range(-4.0..4.0) + (mean * SLOTS - work[target]) * 0.2;
             work[target] = (work[target] + step).max(0.0);
             let load = Load { running: work[target] as u32, waiting: 0, limit: SLOTS as u32 };
             if reports[target].is_due(load, targets, now) {
                 reports[target].note(load, now);
-                told[target] = work[target];
+                reported[target] = work[target];
                 count += 1;
             }
         }
-        if look >= SETTLED {
-            let difference = told.iter().sum::<f64>() - work.iter().sum::<f64>();
-            off_by += difference.abs() / (SLOTS * targets as f64) / f64::from(LOOKS - SETTLED);
+        if check >= WARM_UP_CHECKS {
+            let difference = reported.iter().sum::<f64>() - work.iter().sum::<f64>();
+            mean_error +=
+                difference.abs() / (SLOTS * targets as f64) / f64::from(CHECKS - WARM_UP_CHECKS);
         }
     }
-    Heard { reports_a_second: f64::from(count) / (LOOK_EVERY * LOOKS).as_secs_f64(), off_by }
+    Received {
+        updates_per_s: f64::from(count) / (CHECK_INTERVAL * CHECKS).as_secs_f64(),
+        mean_error,
+    }
 }
 
 #[test]
-fn what_a_node_hears_of_a_service_is_bounded_however_many_targets_it_has() {
+fn the_update_rate_of_a_service_is_bounded_for_any_number_of_targets() {
     let mut rng = SmallRng::seed_from_u64(4);
     for targets in [2, 16, 96, 300] {
         for mean in [0.5, 0.85, 1.5] {
-            let heard = listen(targets, mean, &mut rng);
-            let Heard { reports_a_second, off_by } = heard;
-            // Eight targets with a report in 180 ms, and the first of each.
+            let received = simulate(targets, mean, &mut rng);
+            let Received { updates_per_s, mean_error } = received;
+            // One update per 180 ms from eight targets, and the first update of each.
             assert!(
-                reports_a_second < 44.5 + targets as f64 / 40.0,
-                "{targets} at {mean}: {reports_a_second}"
+                updates_per_s < 44.5 + targets as f64 / 40.0,
+                "{targets} at {mean}: {updates_per_s}"
             );
-            // Less than the change that is worth a report.
-            assert!(off_by < 0.1, "{targets} at {mean}: off by {off_by}");
+            // Less than the change that triggers an update.
+            assert!(mean_error < 0.1, "{targets} at {mean}: off by {mean_error}");
         }
     }
 }
 
 #[test]
-fn a_target_whose_work_stays_is_not_told_of_again() {
+fn unchanged_load_is_not_reported_again() {
     let load = Load { running: 20, waiting: 0, limit: 44 };
     let began = Instant::now();
     let mut report = LoadReport::default();
-    assert!(report.is_due(load, 1, began), "nothing was told yet");
+    assert!(report.is_due(load, 1, began), "nothing was reported yet");
     report.note(load, began);
     let later = began + Duration::from_secs(60);
     assert!(!report.is_due(load, 1, later));
@@ -92,21 +97,21 @@
 }
 
 #[test]
-fn a_rush_is_told_at_once_however_many_targets_share_it() {
+fn a_load_spike_is_reported_at_once_for_any_number_of_targets() {
     let calm = Load { running: 10, waiting: 0, limit: 44 };
-    let rush = Load { running: 44, waiting: 5, limit: 44 };
+    let spike = Load { running: 44, waiting: 5, limit: 44 };
     let began = Instant::now();
     let mut report = LoadReport::default();
     report.note(calm, began);
     let soon = began + Duration::from_millis(180);
-    assert!(report.is_due(rush, 300, soon));
-    report.note(rush, soon);
-    assert!(!report.is_due(rush, 300, soon + Duration::from_secs(1)), "one of 300, a second ago");
-    assert!(report.is_due(rush, 2, soon + Duration::from_millis(180)));
-    assert!(report.is_due(calm, 300, soon + Duration::from_millis(180)), "it is over");
+    assert!(report.is_due(spike, 300, soon));
+    report.note(spike, soon);
+    assert!(!report.is_due(spike, 300, soon + Duration::from_secs(1)), "one of 300, a second ago");
+    assert!(report.is_due(spike, 2, soon + Duration::from_millis(180)));
+    assert!(report.is_due(calm, 300, soon + Duration::from_millis(180)), "the spike is over");
 }
 
-/// The roles of nodes of one failure domain, in the order of their addresses; some do not reach the store.
+/// Roles of the nodes of one failure domain, in address order; some do not reach the store.
 fn roles(reach: &[bool]) -> Vec<Role> {
     let mut roles = Vec::new();
     for (place, _) in reach.iter().enumerate() {
@@ -134,7 +139,7 @@
 }
 
 #[test]
-fn a_node_that_cannot_read_of_the_others_hears_of_them_from_the_first_it_meets() {
+fn a_node_learns_of_all_others_from_the_first_it_links_with() {
     run(async {
         let answer = || vec![Reaction::Answer(200, 0)];
         let first = start("page-1", "page", answer()).await;
@@ -148,7 +153,7 @@
     });
 }
 
-/// A node that says hello on every link with the given state, and nothing else ever after.
+/// A node that sends a hello with the given status on each link, and nothing else.
 async fn start_silent(state: Status) -> std::net::SocketAddr {
     let address = unused_address();
     let listener = TcpListener::bind(address).await.unwrap();
@@ -172,7 +177,7 @@
 }
 
 #[test]
-fn a_call_on_a_link_that_has_fallen_silent_ends_long_before_its_time_is_over() {
+fn a_call_on_a_silent_link_fails_long_before_its_deadline() {
     run(async {
         let entry = start("page-1", "page", vec![Reaction::Answer(200, 0)]).await;
         let load = Load { running: 0, waiting: 0, limit: 9 };
@@ -184,7 +189,7 @@
             sleep(Duration::from_millis(5)).await;
         }
         let began = Instant::now();
-        // It may have run, so that it is not offered again and the caller is told so.
+        // The call may have run, so it is not retried and the caller gets a 502.
         assert_eq!(status(&ask(&entry, &request("book", "a1")).await), 502);
         let took = began.elapsed();
         assert!(took < Duration::from_secs(4), "{took:?} of the 5 s of the route");
@@ -192,7 +197,7 @@
 }
 
 #[test]
-fn a_configuration_that_does_not_come_is_asked_for_elsewhere() {
+fn a_missing_configuration_is_requested_from_another_node() {
     run(async {
         let node = start("page-1", "page", vec![Reaction::Answer(200, 0)]).await;
         let state = Status { site_version: 9, ..Status::default() };
