--- a/src/mesh/budget.rs
+++ b/src/mesh/budget.rs
@@ -102,18 +102,18 @@
     }
 
     /// Counts the first attempt of a request.
-    pub fn earn(&self, service: &str) {
+    pub fn record_request(&self, service: &str) {
         self.with_window(service, |window| window.current().requests += 1);
     }
 
     /// Charges the first attempt of a request that was made by a retry.
-    pub fn owe(&self, service: &str) {
+    pub fn charge_inherited(&self, service: &str) {
         self.with_window(service, |window| window.current().spent += 1.0);
     }
 
     /// Retries available to the most important rank, without the slack; negative if more were
     /// charged than earned.
-    pub fn left(&self, service: &str) -> f64 {
+    pub fn remaining(&self, service: &str) -> f64 {
         self.with_window(service, |window| {
             let (requests, spent) = window.sums();
             requests * self.share - spent
--- a/src/mesh/sender.rs
+++ b/src/mesh/sender.rs
@@ -115,9 +115,9 @@
 pub async fn send(node: &Rc<Node>, route: &Route, request: &Request) -> (Outcome, Trail) {
     let service = &route.split[node.splitter.next(route)].service;
     if request.is_repeat {
-        node.budgets.owe(service);
+        node.budgets.charge_inherited(service);
     } else {
-        node.budgets.earn(service);
+        node.budgets.record_request(service);
     }
     let mut dispatch = Dispatch {
         node,
--- a/src/mesh/trail.rs
+++ b/src/mesh/trail.rs
@@ -81,7 +81,7 @@
         heard_ms: silent_ms(node, trail),
         admitted_percent: (node.overload.admission_probability(ended.route) * 100.0) as u32,
         limited_by: node.overload.limited_by(ended.route).unwrap_or_default(),
-        repeats_percent: (node.budgets.left(&trail.service) * 100.0) as u32,
+        repeats_percent: (node.budgets.remaining(&trail.service) * 100.0) as u32,
         config_version: node.site_version(),
         team: trail.team.to_string(),
         quota: trail.quota.as_ref().map(QuotaState::to_string).unwrap_or_default(),
--- a/tests/mesh/properties.rs
+++ b/tests/mesh/properties.rs
@@ -174,9 +174,9 @@
             for is_repeat in runs {
                 for _ in 0..if level == 0 { 1 } else { fanout } {
                     if is_repeat {
-                        budgets.owe(&service);
+                        budgets.charge_inherited(&service);
                     } else {
-                        budgets.earn(&service);
+                        budgets.record_request(&service);
                     }
                     next.push(is_repeat);
                     if rng.random_bool(failing) && budgets.try_take(&service, 0, 1, &mut rng) {
@@ -229,7 +229,7 @@
                 .collect();
             for budget in &budgets {
                 for _ in 0..100 {
-                    budget.earn("stock");
+                    budget.record_request("stock");
                 }
             }
             advance(Duration::from_secs(10)).await;
@@ -293,7 +293,7 @@
                 let mean = rate * STEP.as_secs_f64() * nodes as f64 * weight / total;
                 let count = mean as u32 + u32::from(rng.random_bool(mean.fract()));
                 for _ in 0..count {
-                    budget.earn("stock");
+                    budget.record_request("stock");
                     step.requests += 1;
                     // Each attempt may fail, including repeats.
                     while rng.random_bool(*failing) && budget.try_take("stock", 0, nodes, &mut rng)
