--- a/src/mesh/crash_reports.rs
+++ b/src/mesh/crash_reports.rs
@@ -29,7 +29,7 @@
         let path = request.map(|request| request.path.clone()).unwrap_or_default();
         log_quarantined(node, held, path, "crash");
     }
-    node.callers.broadcast(&Frame::Crash(crash));
+    node.inbound.broadcast(&Frame::Crash(crash));
 }
 
 /// Records that the target of another node crashed.
@@ -53,7 +53,7 @@
 pub fn note_success(node: &Node, fingerprint: Fingerprint) {
     let cleared = node.quarantine.clear(fingerprint);
     if cleared.was_suspect {
-        node.callers.broadcast(&Frame::Cleared(fingerprint));
+        node.inbound.broadcast(&Frame::Cleared(fingerprint));
     }
     if cleared.was_held {
         node.quarantine.save(fingerprint);
--- a/src/mesh/callers.rs
+++ b/src/mesh/inbound.rs
@@ -24,7 +24,7 @@
 
 /// The nodes that send calls to this one.
 #[derive(Debug)]
-pub struct Callers {
+pub struct InboundLinks {
     failure_domain: String,
     policy: Policy,
     links: RefCell<Vec<InboundLink>>,
@@ -38,7 +38,7 @@
     remote_report: Cell<LoadReport>,
 }
 
-impl Callers {
+impl InboundLinks {
     /// An empty set, for a node in `failure_domain`.
     pub fn new(failure_domain: &str, policy: Policy) -> Self {
         Self {
@@ -66,7 +66,7 @@
     /// Sends the full status if it has changed, and otherwise the target's load where an update is
     /// due. `near` and `all` are the numbers of targets of the service in this failure domain and
     /// in total.
-    pub fn tell_what_is_due(&self, status: &Status, near: usize, all: usize) {
+    pub fn send_due_updates(&self, status: &Status, near: usize, all: usize) {
         if self.is_status_due(status) {
             self.broadcast_status(status);
             return;
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -5,7 +5,6 @@
 
 pub mod ancestry;
 pub mod budget;
-pub mod callers;
 pub mod codec;
 pub mod crash;
 pub mod crash_reports;
@@ -17,6 +16,7 @@
 pub mod gate;
 pub mod header_names;
 pub mod http1;
+pub mod inbound;
 pub mod incarnation;
 pub mod ingress;
 pub mod inquiry;
--- a/src/mesh/node.rs
+++ b/src/mesh/node.rs
@@ -15,11 +15,11 @@
 
 use super::ancestry::Ancestry;
 use super::budget::RetryBudgets;
-use super::callers::Callers;
 use super::directory::Directory;
 use super::follower::StoreWatch;
 use super::frame::{Frame, Hello, RootWork, Status};
 use super::header_names::HeaderNames;
+use super::inbound::InboundLinks;
 use super::incarnation::Incarnation;
 use super::link::Link;
 use super::metrics::MeshMetrics;
@@ -116,7 +116,7 @@
     /// When the node was told to stop.
     stopping_since: Cell<Option<Instant>>,
     /// The links on which peers call this node, and what each was last told.
-    pub callers: Callers,
+    pub inbound: InboundLinks,
     /// The links that this node has dialled.
     dialled: RefCell<Vec<Rc<Link>>>,
 }
@@ -159,7 +159,7 @@
             active_site: RefCell::default(),
             read_site,
             stopping_since: Cell::default(),
-            callers: Callers::new(&settings.node.failure_domain, settings.overload.policy),
+            inbound: InboundLinks::new(&settings.node.failure_domain, settings.overload.policy),
             dialled: RefCell::default(),
             settings,
             header_names,
@@ -334,7 +334,7 @@
         self.recent_roots.borrow_mut().retain(|_, last| last.elapsed() < ROOT_TTL);
         let status = self.status();
         let (near, all) = self.directory.siblings(&status.service);
-        self.callers.tell_what_is_due(&status, near + 1, all + 1);
+        self.inbound.send_due_updates(&status, near + 1, all + 1);
         let newer =
             self.directory.with_newer_site(self.site_version(), &mut *self.rng.borrow_mut());
         if let Some(link) = newer {
@@ -439,7 +439,7 @@
 
     /// Sends the status of the node to all peers that call it.
     pub fn broadcast_status(&self) {
-        self.callers.broadcast_status(&self.status());
+        self.inbound.broadcast_status(&self.status());
     }
 
     /// The links that this node has dialled.
--- a/src/mesh/peers.rs
+++ b/src/mesh/peers.rs
@@ -195,7 +195,7 @@
             for incarnation in &hello.left_incarnations {
                 node.target.mark_left(incarnation);
             }
-            node.callers.add(&link, &hello.failure_domain);
+            node.inbound.add(&link, &hello.failure_domain);
             link.send(&Frame::Hello(node.hello(Vec::new())));
             let suspicions = node.quarantine.suspicions();
             if !suspicions.is_empty() {
@@ -213,7 +213,7 @@
                 call.abort();
             }
         }
-        Frame::Ping => link.send(&node.callers.load_frame(&node.status())),
+        Frame::Ping => link.send(&node.inbound.load_frame(&node.status())),
         Frame::NeighboursWanted => link.send(&Frame::Neighbours(node.directory.neighbours())),
         Frame::SiteWanted => {
             if let Some(active_site) = node.active_site() {
@@ -241,7 +241,7 @@
     for (_, call) in running.borrow_mut().drain() {
         call.abort();
     }
-    node.callers.remove(&link);
+    node.inbound.remove(&link);
 }
 
 /// Runs one call and sends its answer.
