--- a/src/mesh/directory.rs
+++ b/src/mesh/directory.rs
@@ -53,7 +53,7 @@
     in_flight_at_update: Cell<u32>,
     avoided_until: Cell<Option<Instant>>,
     /// Notified when it has connected to this node, to wake the task that tries to reach it.
-    pub greeted: Notify,
+    pub hello_received: Notify,
     /// Recent share of failures among its answers.
     pub failing: FailureShare,
     /// Whether it was ever linked with this node.
@@ -72,7 +72,7 @@
             in_flight: Cell::default(),
             in_flight_at_update: Cell::default(),
             avoided_until: Cell::default(),
-            greeted: Notify::new(),
+            hello_received: Notify::new(),
             failing: FailureShare::default(),
             was_linked: Cell::default(),
             discovered_at: Instant::now(),
@@ -85,19 +85,19 @@
     }
 
     /// Updates the load of its target.
-    pub fn take_load(&self, load: Load) {
+    pub fn update_load(&self, load: Load) {
         self.status.borrow_mut().load = load;
         self.in_flight_at_update.set(self.in_flight.get());
     }
 
     /// Updates its status.
-    pub fn take_status(&self, status: Status) {
+    pub fn update_status(&self, status: Status) {
         let load = status.load;
         if self.status.borrow().incarnation != status.incarnation {
             self.failing.forget();
         }
         *self.status.borrow_mut() = status;
-        self.take_load(load);
+        self.update_load(load);
     }
 
     /// Avoids the node for `AVOID_AFTER_FAILURE`.
@@ -110,7 +110,7 @@
     fn cost(&self, now: Instant) -> f64 {
         let status = self.status.borrow();
         let sent_since = self.in_flight.get().saturating_sub(self.in_flight_at_update.get());
-        let mut utilization = busy_share(status.load, sent_since, status.cold);
+        let mut utilization = utilization_of(status.load, sent_since, status.cold);
         if self.avoided_until.get().is_some_and(|until| now < until) {
             utilization += SUSPECT_COST;
         }
@@ -124,7 +124,7 @@
 }
 
 /// Utilization of a target, as a fraction of its limit; above 1 if requests are queued.
-pub fn busy_share(load: Load, sent_since: u32, is_cold: bool) -> f64 {
+pub fn utilization_of(load: Load, sent_since: u32, is_cold: bool) -> f64 {
     let work = f64::from(load.running + load.waiting + sent_since);
     let utilization = (work + 1.0) / f64::from(load.limit.max(1));
     if is_cold { utilization * COLD_FACTOR } else { utilization }
@@ -140,11 +140,11 @@
 }
 
 /// What a destination is picked for.
-pub struct Wanted<'a> {
+pub struct PickRequest<'a> {
     /// The service.
     pub service: &'a str,
     /// Utilization of the local target, if that may take the call.
-    pub own_busy: Option<f64>,
+    pub own_utilization: Option<f64>,
     /// Nodes that were already tried.
     pub tried: &'a [SocketAddr],
 }
@@ -233,7 +233,7 @@
 
     /// Number of ready targets of `service` on other nodes: in the same failure domain, and in
     /// total.
-    pub fn siblings(&self, service: &str) -> (usize, usize) {
+    pub fn remote_targets(&self, service: &str) -> (usize, usize) {
         let (mut near, mut all) = (0, 0);
         for peer in self.peers.borrow().values() {
             let status = peer.status.borrow();
@@ -248,7 +248,7 @@
 
     /// Number of linked nodes of the same failure domain with a lower address than this one: those
     /// that reach the store, and all.
-    pub fn near_before(&self) -> (usize, usize) {
+    pub fn local_predecessors(&self) -> (usize, usize) {
         let (mut with_store, mut all) = (0, 0);
         for peer in self.peers.borrow().values() {
             let is_before = peer.address < self.own_address;
@@ -263,7 +263,7 @@
 
     /// The link to a random node with a newer configuration than `version`. Random, as the node
     /// that was asked before may not answer.
-    pub fn with_newer_site(&self, version: u64, rng: &mut impl Rng) -> Option<Rc<Link>> {
+    pub fn link_to_newer_site(&self, version: u64, rng: &mut impl Rng) -> Option<Rc<Link>> {
         let peers = self.peers.borrow();
         let newer = peers.values().filter(|peer| peer.status.borrow().site_version > version);
         newer.filter_map(|peer| peer.open_link()).choose(rng)
@@ -281,18 +281,18 @@
     }
 
     /// Updates a node from the hello that it sent on an inbound link.
-    pub fn take_hello(&self, hello: &Hello) {
+    pub fn update_from_hello(&self, hello: &Hello) {
         let Some(peer) = self.get(hello.address) else { return };
         hello.failure_domain.clone_into(&mut peer.failure_domain.borrow_mut());
-        peer.take_status(hello.status.clone());
+        peer.update_status(hello.status.clone());
     }
 
     /// Picks the least utilized target, preferring the same failure domain. Skips nodes that were
     /// already tried.
-    pub fn pick(&self, wanted: &Wanted<'_>, rng: &mut impl Rng) -> Option<Destination> {
+    pub fn pick(&self, wanted: &PickRequest<'_>, rng: &mut impl Rng) -> Option<Destination> {
         let now = Instant::now();
         let mut cheapest: Option<(f64, Destination)> = None;
-        if let Some(utilization) = wanted.own_busy {
+        if let Some(utilization) = wanted.own_utilization {
             cheapest = Some((utilization, Destination::Own));
         }
         for peer in self.peers.borrow().values() {
--- a/src/mesh/node.rs
+++ b/src/mesh/node.rs
@@ -333,10 +333,10 @@
     pub fn adjust(&self) {
         self.recent_roots.borrow_mut().retain(|_, last| last.elapsed() < ROOT_TTL);
         let status = self.status();
-        let (near, all) = self.directory.siblings(&status.service);
+        let (near, all) = self.directory.remote_targets(&status.service);
         self.inbound.send_due_updates(&status, near + 1, all + 1);
         let newer =
-            self.directory.with_newer_site(self.site_version(), &mut *self.rng.borrow_mut());
+            self.directory.link_to_newer_site(self.site_version(), &mut *self.rng.borrow_mut());
         if let Some(link) = newer {
             self.request_site(&link);
         }
@@ -390,7 +390,7 @@
 
     /// Updates this node's role: whether it follows the store for itself and its peers.
     fn update_store_role(&self) {
-        let (with_store, all) = self.directory.near_before();
+        let (with_store, all) = self.directory.local_predecessors();
         if self.store_watch.take_place(with_store, all) {
             let role = self.store_watch.role().name();
             let is_first = self.store_watch.is_first();
--- a/src/mesh/peers.rs
+++ b/src/mesh/peers.rs
@@ -55,7 +55,7 @@
         // that says hello can be reached, so it is dialled again at once.
         let connected = tokio::select! {
             connected = socket::connect(peer.address) => connected,
-            () = peer.greeted.notified() => continue,
+            () = peer.hello_received.notified() => continue,
         };
         if let Ok(stream) = connected {
             let connected_at = Instant::now();
@@ -67,7 +67,7 @@
         }
         tokio::select! {
             () = sleep(backoff) => backoff = (backoff * 2).min(REDIAL_BACKOFF_MAX),
-            () = peer.greeted.notified() => backoff = REDIAL_BACKOFF_MIN,
+            () = peer.hello_received.notified() => backoff = REDIAL_BACKOFF_MIN,
         }
     }
     node.directory.remove(peer.address);
@@ -81,7 +81,7 @@
     node.add_dialled(&link);
     let on_frame = |frame| match frame {
         Frame::Hello(hello) => {
-            node.directory.take_hello(&hello);
+            node.directory.update_from_hello(&hello);
             peer.link.replace(Some(Rc::clone(&link)));
             peer.was_linked.set(true);
             node.log.emit(&LogEvent::LinkUp {
@@ -100,14 +100,14 @@
             }
         }
         Frame::Answer { id, end, load } => {
-            peer.take_load(load);
+            peer.update_load(load);
             link.end_call(id, end);
         }
         Frame::Status(status) => {
             node.request_newer_site(&status, &link);
-            peer.take_status(status);
+            peer.update_status(status);
         }
-        Frame::Load(load) => peer.take_load(load),
+        Frame::Load(load) => peer.update_load(load),
         Frame::Crash(crash) => crash_reports::receive_crash(node, &crash),
         Frame::Cleared(fingerprint) => {
             node.quarantine.clear(fingerprint);
@@ -190,7 +190,7 @@
         Frame::Hello(hello) => {
             add_peer(&node, hello.address, &hello.failure_domain);
             if let Some(peer) = node.directory.get(hello.address) {
-                peer.greeted.notify_waiters();
+                peer.hello_received.notify_waiters();
             }
             for incarnation in &hello.left_incarnations {
                 node.target.mark_left(incarnation);
--- a/src/mesh/sender.rs
+++ b/src/mesh/sender.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use tokio::time::{Instant, timeout_at};
 
-use super::directory::{Destination, Wanted, busy_share};
+use super::directory::{Destination, PickRequest, utilization_of};
 use super::fingerprint::Fingerprint;
 use super::frame::{Call, CallEnd, Doubt, Header, NotRun, TargetAnswer};
 use super::node::{CountGuard, Node};
@@ -205,7 +205,7 @@
     /// How many targets of the service are ready, as far as this node knows.
     fn targets_ready(&self) -> usize {
         let own = self.node.target.current().filter(|known| known.service == self.service);
-        self.node.directory.siblings(self.service).1 + usize::from(own.is_some())
+        self.node.directory.remote_targets(self.service).1 + usize::from(own.is_some())
     }
 
     /// A target that was already tried, when no other is left.
@@ -223,11 +223,11 @@
         let node = self.node;
         let is_own = !self.tried_own && node.takes_calls();
         let current = node.target.current().filter(|known| known.service == self.service);
-        let own_busy = current.filter(|_| is_own).map(|known| {
-            busy_share(node.target.load(), 0, known.is_cold)
+        let own_utilization = current.filter(|_| is_own).map(|known| {
+            utilization_of(node.target.load(), 0, known.is_cold)
                 + node.target.failing.cost(Instant::now())
         });
-        let wanted = Wanted { service: self.service, own_busy, tried: &self.tried };
+        let wanted = PickRequest { service: self.service, own_utilization, tried: &self.tried };
         let mut rng = node.rng.borrow_mut();
         node.directory.pick(&wanted, &mut *rng)
     }
--- a/tests/emulator/mod.rs
+++ b/tests/emulator/mod.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use aspenspring::mesh::directory::busy_share;
+use aspenspring::mesh::directory::utilization_of;
 use aspenspring::mesh::frame::Load;
 use aspenspring::mesh::gate::Gate;
 use aspenspring::mesh::overload::{ADJUST_INTERVAL, Overload, Policy, ServiceView};
@@ -253,7 +253,7 @@
                 continue;
             }
             let busy =
-                busy_share(known_loads[index], sent_calls[index], false) + self.random() * 0.06;
+                utilization_of(known_loads[index], sent_calls[index], false) + self.random() * 0.06;
             if busy < best.0 {
                 best = (busy, index);
             }
