--- a/src/mesh/follower.rs
+++ b/src/mesh/follower.rs
@@ -90,7 +90,7 @@
     /// Updates the role from the number of nodes before this one in the address order of its
     /// failure domain: those that reach the store, and all. Returns whether the role or `is_first`
     /// has changed.
-    pub fn take_place(&self, before_with_store: usize, before: usize) -> bool {
+    pub fn update_role(&self, before_with_store: usize, before: usize) -> bool {
         let (role, is_first) = (Role::of(before_with_store, before), before_with_store == 0);
         if role != Role::Hears {
             self.to_follow.notify_one();
@@ -105,14 +105,14 @@
     }
 
     /// Records an answer of the store.
-    pub fn note_heard(&self) {
+    pub fn note_answer(&self) {
         self.reaches_store.set(true);
         self.last_answer_at.set(Instant::now());
     }
 
     /// Marks the store as unreachable until it answers again, so that other nodes follow it
     /// instead.
-    pub fn note_away(&self) {
+    pub fn note_unreachable(&self) {
         self.reaches_store.set(false);
     }
 
--- a/src/mesh/node.rs
+++ b/src/mesh/node.rs
@@ -391,7 +391,7 @@
     /// Updates this node's role: whether it follows the store for itself and its peers.
     fn update_store_role(&self) {
         let (with_store, all) = self.directory.local_predecessors();
-        if self.store_watch.take_place(with_store, all) {
+        if self.store_watch.update_role(with_store, all) {
             let role = self.store_watch.role().name();
             let is_first = self.store_watch.is_first();
             self.log.emit(&LogEvent::FollowerChanged { role, is_first });
--- a/src/mesh/inquiry.rs
+++ b/src/mesh/polling.rs
@@ -37,7 +37,7 @@
 
 /// A long-poll request to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct LongPoll {
     /// How long the store may wait for a change.
     pub wait: Duration,
     /// Time without an answer after which the request counts as lost.
@@ -59,35 +59,35 @@
 
 /// Schedules the requests of one node.
 #[derive(Debug)]
-pub struct Inquiry {
+pub struct PollSchedule {
     sent_at: Instant,
-    question: Question,
+    long_poll: LongPoll,
     backoff: Duration,
     failing_since: Option<Instant>,
 }
 
-impl Inquiry {
+impl PollSchedule {
     /// Starts without any request sent.
     pub fn new(now: Instant) -> Self {
-        let question = Question { wait: Duration::ZERO, lost_after: LOST_AFTER };
-        Self { sent_at: now, question, backoff: BACKOFF_MIN, failing_since: None }
+        let long_poll = LongPoll { wait: Duration::ZERO, lost_after: LOST_AFTER };
+        Self { sent_at: now, long_poll, backoff: BACKOFF_MIN, failing_since: None }
     }
 
     /// The next request, sent now. `is_first` tells whether this node is the first of its failure
     /// domain that reaches the store; `jitter` is a random number from 0 to 1.
-    pub fn ask(&mut self, is_first: bool, jitter: f64, now: Instant) -> Question {
+    pub fn ask(&mut self, is_first: bool, jitter: f64, now: Instant) -> LongPoll {
         let factor = 1.0 - WAIT_JITTER * jitter;
         self.sent_at = now;
-        self.question = match (self.failing_since, is_first) {
+        self.long_poll = match (self.failing_since, is_first) {
             // Find out whether the store answers at all before asking it to wait.
-            (Some(_), _) => Question { wait: Duration::ZERO, lost_after: LOST_AFTER },
-            (None, true) => Question { wait: WAIT_FIRST.mul_f64(factor), lost_after: LOST_AFTER },
+            (Some(_), _) => LongPoll { wait: Duration::ZERO, lost_after: LOST_AFTER },
+            (None, true) => LongPoll { wait: WAIT_FIRST.mul_f64(factor), lost_after: LOST_AFTER },
             (None, false) => {
                 let wait = WAIT_OTHERS.mul_f64(factor);
-                Question { wait, lost_after: wait + LOST_AFTER }
+                LongPoll { wait, lost_after: wait + LOST_AFTER }
             }
         };
-        self.question
+        self.long_poll
     }
 
     /// Records an answer. Returns how long the store had been unreachable, if it had been.
@@ -101,7 +101,7 @@
         let is_new = self.failing_since.is_none();
         let since = *self.failing_since.get_or_insert(now);
         let waited = now - self.sent_at;
-        let is_lost = waited >= self.question.lost_after;
+        let is_lost = waited >= self.long_poll.lost_after;
         // Measured from the request, as a lost one has already taken its time.
         let retry_at = self.sent_at + self.backoff.mul_f64(0.5 + jitter);
         self.backoff = (self.backoff * 2).min(backoff_max(role));
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 use crate::mesh::http1::{Connection, ExchangeError, Reply};
-use crate::mesh::inquiry::Question;
+use crate::mesh::polling::LongPoll;
 
 /// The timeout of a write.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -114,11 +114,11 @@
         &mut self,
         table: &str,
         version: u64,
-        question: Question,
+        long_poll: LongPoll,
     ) -> eyre::Result<Changes> {
-        let wait_ms = question.wait.as_millis();
+        let wait_ms = long_poll.wait.as_millis();
         let path = format!("/aspenspring/rows-feed?table={table}&after={version}&waitMs={wait_ms}");
-        let reply = self.send_request(&Method::GET, &path, b"", question.lost_after).await?;
+        let reply = self.send_request(&Method::GET, &path, b"", long_poll.lost_after).await?;
         if reply.status == http::StatusCode::GONE.as_u16() {
             return Ok(Changes::HistoryGone);
         }
--- a/src/platform/watch.rs
+++ b/src/platform/watch.rs
@@ -10,8 +10,8 @@
 use super::store::{Changes, Row, Store};
 use crate::event::LogEvent;
 use crate::mesh::follower::Role;
-use crate::mesh::inquiry::{Inquiry, Question};
 use crate::mesh::node::Node;
+use crate::mesh::polling::{LongPoll, PollSchedule};
 
 /// The table that the operator writes to.
 const TABLE: &str = "op";
@@ -23,36 +23,36 @@
     let watch = &node.store_watch;
     let mut store = Store::new(address);
     let mut version = None;
-    let mut inquiry = Inquiry::new(Instant::now());
+    let mut schedule = PollSchedule::new(Instant::now());
     loop {
         // Every node reads the current version at its start. Later ones reach the nodes that do not watch the store
         // through their peers.
         while version.is_some() && watch.role() == Role::Hears {
             watch.to_follow.notified().await;
         }
-        let question = inquiry.ask(watch.is_first(), rand::random(), Instant::now());
+        let long_poll = schedule.ask(watch.is_first(), rand::random(), Instant::now());
         let outcome = tokio::select! {
-            outcome = poll(&node, &mut store, version, question) => outcome,
+            outcome = poll(&node, &mut store, version, long_poll) => outcome,
             () = watch.became_first.notified() => continue,
         };
         match outcome {
             Ok(seen_version) => {
                 version = seen_version;
-                watch.note_heard();
-                if let Some(outage) = inquiry.answered(Instant::now()) {
+                watch.note_answer();
+                if let Some(outage) = schedule.answered(Instant::now()) {
                     let away_ms = outage.as_millis() as u64;
                     node.log.emit(&LogEvent::StoreBack { store: "table", away_ms });
                 }
             }
             Err(error) => {
-                let failure = inquiry.failed(watch.role(), rand::random(), Instant::now());
+                let failure = schedule.failed(watch.role(), rand::random(), Instant::now());
                 if failure.is_new {
                     let detail = format!("{error:#}");
                     let asked_ms = failure.waited.as_millis() as u64;
                     node.log.emit(&LogEvent::StoreAway { store: "table", detail, asked_ms });
                 }
                 if failure.is_away {
-                    watch.note_away();
+                    watch.note_unreachable();
                 }
                 sleep_until(failure.retry_at).await;
             }
@@ -66,14 +66,14 @@
     node: &Rc<Node>,
     store: &mut Store,
     version: Option<u64>,
-    question: Question,
+    long_poll: LongPoll,
 ) -> eyre::Result<Option<u64>> {
     let Some(version) = version else {
-        let page = store.rows(TABLE, KEY, question.lost_after).await?;
+        let page = store.rows(TABLE, KEY, long_poll.lost_after).await?;
         apply_rows(node, &page.rows);
         return Ok(Some(page.row_version));
     };
-    match store.changes(TABLE, version, question).await? {
+    match store.changes(TABLE, version, long_poll).await? {
         Changes::HistoryGone => Ok(None),
         Changes::Rows(page) => {
             apply_rows(node, &page.rows);
--- a/tests/mesh/inquiry.rs
+++ b/tests/mesh/polling.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use aspenspring::mesh::follower::{Role, StoreWatch};
-use aspenspring::mesh::inquiry::Inquiry;
+use aspenspring::mesh::polling::PollSchedule;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
@@ -25,7 +25,7 @@
 
 /// Simulation of one node and its store; times count from its start.
 struct Simulation {
-    inquiry: Inquiry,
+    schedule: PollSchedule,
     began: Instant,
     now: Instant,
     rng: SmallRng,
@@ -35,7 +35,7 @@
     fn new(seed: u64) -> Self {
         let began = Instant::now();
         let rng = SmallRng::seed_from_u64(seed);
-        Self { inquiry: Inquiry::new(began), began, now: began, rng }
+        Self { schedule: PollSchedule::new(began), began, now: began, rng }
     }
 
     fn elapsed(&self) -> Duration {
@@ -44,22 +44,22 @@
 
     /// Sends one request to a store with an outage in `away`; returns whether it was answered.
     fn ask(&mut self, is_first: bool, outage: Outage, away: &Range<Duration>) -> bool {
-        let question = self.inquiry.ask(is_first, self.rng.random(), self.now);
+        let long_poll = self.schedule.ask(is_first, self.rng.random(), self.now);
         let sent_at = self.elapsed();
-        let due = sent_at + question.wait + ANSWER_TIME;
+        let due = sent_at + long_poll.wait + ANSWER_TIME;
         let overlaps = sent_at < away.end && due >= away.start;
         let fails_at = match outage {
-            Outage::Silent if overlaps => Some(sent_at + question.lost_after),
+            Outage::Silent if overlaps => Some(sent_at + long_poll.lost_after),
             Outage::Refuses if overlaps => Some(sent_at.max(away.start) + ANSWER_TIME),
             Outage::Silent | Outage::Refuses => None,
         };
         let Some(fails_at) = fails_at else {
             self.now = self.began + due;
-            self.inquiry.answered(self.now);
+            self.schedule.answered(self.now);
             return true;
         };
         self.now = self.began + fails_at;
-        let failure = self.inquiry.failed(Role::Follows, self.rng.random(), self.now);
+        let failure = self.schedule.failed(Role::Follows, self.rng.random(), self.now);
         self.now = failure.retry_at;
         false
     }
@@ -124,13 +124,14 @@
 #[test]
 fn a_lost_request_marks_the_store_unreachable_and_a_broken_connection_does_not() {
     let mut simulation = Simulation::new(3);
-    let question = simulation.inquiry.ask(true, 0.0, simulation.now);
-    let lost = simulation.inquiry.failed(Role::Follows, 0.0, simulation.now + question.lost_after);
+    let long_poll = simulation.schedule.ask(true, 0.0, simulation.now);
+    let lost =
+        simulation.schedule.failed(Role::Follows, 0.0, simulation.now + long_poll.lost_after);
     assert!(lost.is_new && lost.is_away);
-    assert_eq!(lost.waited, question.lost_after);
+    assert_eq!(lost.waited, long_poll.lost_after);
     let mut simulation = Simulation::new(3);
-    simulation.inquiry.ask(true, 0.0, simulation.now);
-    let broken = simulation.inquiry.failed(Role::Follows, 0.0, simulation.now + ANSWER_TIME);
+    simulation.schedule.ask(true, 0.0, simulation.now);
+    let broken = simulation.schedule.failed(Role::Follows, 0.0, simulation.now + ANSWER_TIME);
     assert!(broken.is_new && !broken.is_away, "the next request may well be answered");
     assert!(broken.retry_at < simulation.now + Duration::from_millis(200));
 }
@@ -141,13 +142,13 @@
     runtime.block_on(async {
         let watch = StoreWatch::default();
         assert!(watch.is_first(), "a node that knows no others");
-        assert!(watch.take_place(1, 1));
+        assert!(watch.update_role(1, 1));
         let woken = watch.became_first.notified();
         tokio::pin!(woken);
         assert!(poll_once(woken.as_mut()).await.is_none());
-        assert!(!watch.take_place(1, 1), "nothing has changed");
+        assert!(!watch.update_role(1, 1), "nothing has changed");
         // The node before this one no longer reaches the store.
-        assert!(watch.take_place(0, 1));
+        assert!(watch.update_role(0, 1));
         assert!(watch.is_first() && watch.role() == Role::Follows);
         assert!(poll_once(woken.as_mut()).await.is_some());
     });
