--- a/src/mesh/directory.rs
+++ b/src/mesh/directory.rs
@@ -115,7 +115,8 @@
             utilization += SUSPECT_COST;
         }
         let link = self.link.borrow();
-        let is_silent = link.as_ref().is_some_and(|link| now - link.heard() > SUSPECT_AFTER);
+        let is_silent =
+            link.as_ref().is_some_and(|link| now - link.last_received() > SUSPECT_AFTER);
         if is_silent && self.in_flight.get() > 0 {
             utilization += SUSPECT_COST;
         }
--- a/src/mesh/frame.rs
+++ b/src/mesh/frame.rs
@@ -287,7 +287,7 @@
 
     /// Whether the result counts as a failure of the target itself. Timeouts and failures of the
     /// target's own calls don't: the target may be as healthy as any other.
-    pub fn speaks_against_target(&self) -> bool {
+    pub fn counts_as_target_failure(&self) -> bool {
         match self {
             Self::Answered(answer) => {
                 let is_late = answer.status == http::StatusCode::GATEWAY_TIMEOUT.as_u16();
--- a/src/mesh/gate.rs
+++ b/src/mesh/gate.rs
@@ -117,7 +117,7 @@
     }
 
     /// Moving average of the time that the target takes for a request.
-    pub fn typical_run(&self) -> Duration {
+    pub fn mean_run(&self) -> Duration {
         Duration::from_micros(self.mean_run_us.get())
     }
 
--- a/src/mesh/link.rs
+++ b/src/mesh/link.rs
@@ -33,7 +33,7 @@
     has_frames: Notify,
     pending: RefCell<HashMap<u64, oneshot::Sender<CallEnd>>>,
     next_id: Cell<u64>,
-    heard: Cell<Instant>,
+    last_received: Cell<Instant>,
     has_received: Cell<bool>,
     /// When the oldest unanswered ping was sent.
     oldest_ping: Cell<Option<Instant>>,
@@ -80,7 +80,7 @@
             has_frames: Notify::new(),
             pending: RefCell::default(),
             next_id: Cell::new(1),
-            heard: Cell::new(Instant::now()),
+            last_received: Cell::new(Instant::now()),
             has_received: Cell::default(),
             oldest_ping: Cell::default(),
             is_open: Cell::new(true),
@@ -96,12 +96,12 @@
     }
 
     /// When bytes were last received.
-    pub fn heard(&self) -> Instant {
-        self.heard.get()
+    pub fn last_received(&self) -> Instant {
+        self.last_received.get()
     }
 
     /// Whether the other node has yet to send its first frame or the answer to a call.
-    pub fn is_awaiting(&self) -> bool {
+    pub fn is_awaiting_frames(&self) -> bool {
         !self.has_received.get() || !self.pending.borrow().is_empty()
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// How long the oldest ping has been unanswered.
-    pub fn unanswered(&self) -> Duration {
+    pub fn ping_age(&self) -> Duration {
         self.oldest_ping.get().map_or(Duration::ZERO, |oldest_ping| oldest_ping.elapsed())
     }
 
@@ -200,7 +200,7 @@
     }
 
     fn record_received(&self) {
-        self.heard.set(Instant::now());
+        self.last_received.set(Instant::now());
         self.has_received.set(true);
         self.oldest_ping.set(None);
     }
--- a/src/mesh/peers.rs
+++ b/src/mesh/peers.rs
@@ -137,7 +137,7 @@
         node.log.emit(&LogEvent::LinkLost {
             peer: peer.address,
             waiting: peer.in_flight.get(),
-            silent_ms: link.heard().elapsed().as_millis() as u64,
+            silent_ms: link.last_received().elapsed().as_millis() as u64,
             detail: error.to_string(),
         });
     }
@@ -150,12 +150,13 @@
     loop {
         sleep(WATCH_INTERVAL).await;
         for link in node.dialled() {
-            if link.unanswered() > PING_TIMEOUT {
+            if link.ping_age() > PING_TIMEOUT {
                 link.close();
                 continue;
             }
-            let ping_after = if link.is_awaiting() { PING_PENDING_AFTER } else { PING_IDLE_AFTER };
-            if link.heard().elapsed() >= ping_after {
+            let ping_after =
+                if link.is_awaiting_frames() { PING_PENDING_AFTER } else { PING_IDLE_AFTER };
+            if link.last_received().elapsed() >= ping_after {
                 link.ping();
             }
         }
--- a/src/mesh/receiver.rs
+++ b/src/mesh/receiver.rs
@@ -65,7 +65,7 @@
     let CallResult { end, detail } = admit_and_run(node, call, deadline).await;
     node.metrics.record_call(end.reason());
     if end.has_arrived() {
-        node.target.failing.note(end.speaks_against_target());
+        node.target.failing.note(end.counts_as_target_failure());
     }
     if !end.went_well() {
         let load = node.target.load();
@@ -110,7 +110,7 @@
     };
     let gate = &node.target.gate;
     // Half of the typical run time: a request that began later would most likely not finish.
-    let begin_by = deadline - REMAINING_MIN.max(gate.typical_run() / 2);
+    let begin_by = deadline - REMAINING_MIN.max(gate.mean_run() / 2);
     let quarantine = &node.quarantine;
     let fingerprint = (!quarantine.is_empty()).then(|| call.fingerprint());
     let mut _isolation = None;
--- a/src/mesh/sender.rs
+++ b/src/mesh/sender.rs
@@ -292,7 +292,7 @@
                 if suggests_unavailable(&end) {
                     peer.avoid();
                 }
-                peer.failing.note(end.speaks_against_target());
+                peer.failing.note(end.counts_as_target_failure());
                 end
             }
         }
--- a/src/mesh/trail.rs
+++ b/src/mesh/trail.rs
@@ -95,7 +95,7 @@
 fn silent_ms(node: &Node, trail: &Trail) -> u64 {
     let Some(Some(address)) = trail.offered.last() else { return 0 };
     let link = node.directory.get(*address).and_then(|peer| peer.open_link());
-    link.map_or(0, |link| link.heard().elapsed().as_millis() as u64)
+    link.map_or(0, |link| link.last_received().elapsed().as_millis() as u64)
 }
 
 /// A request that is being answered. When dropped, records whether its caller has disconnected.
--- a/tests/emulator/mod.rs
+++ b/tests/emulator/mod.rs
@@ -427,7 +427,7 @@
 ) -> bool {
     let kind = &simulation.scenario.kinds[index];
     let node = &simulation.nodes[target];
-    let start_by = deadline - (node.gate.typical_run() / 2).max(Duration::from_millis(3));
+    let start_by = deadline - (node.gate.mean_run() / 2).max(Duration::from_millis(3));
     let rank = simulation.scenario.kinds[tree.root].rank;
     let Ok(Ok(_slot)) = timeout_at(start_by, node.gate.enter(rank)).await else { return false };
     tree.runs.set(tree.runs.get() + 1);
