--- a/src/node/cluster.rs
+++ b/src/node/cluster.rs
@@ -1,4 +1,4 @@
-//! Connects membership and configuration to the node.
+//! Passes events from the node to its membership and configuration, and applies their actions.
 
 use std::sync::Arc;
 
@@ -27,11 +27,11 @@
 
 /// The membership of the site and the configuration in force.
 pub(super) struct Cluster {
-    /// The other nodes.
+    /// The known members of the site.
     membership: Membership,
     /// The configuration in force.
     configuration: Configuration,
-    /// Random numbers for both, separate from those for calls.
+    /// Random numbers for membership and configuration, separate from those for calls.
     rng: SmallRng,
     /// The configuration mark last passed to membership.
     mark: ConfigurationMark,
@@ -98,7 +98,7 @@
 }
 
 impl Node {
-    /// Sends membership and configuration the ticks that are due.
+    /// Runs the timers of membership and configuration that are due.
     pub(super) fn tick_cluster(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
         if self.cluster.membership.next_wake_us() <= now_us {
             self.notify_membership(now_us, MembershipEvent::Tick, out);
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Announces the local target to the site; zeros mean that it is gone.
+    /// Announces the local target to the site; 0 slots mean that the target is gone.
     pub(super) fn announce_target(
         &mut self,
         now_us: u64,
@@ -153,7 +153,8 @@
         self.router.remove(now_us, self.identity.id);
     }
 
-    /// Adds this node to the router for calls to its own service, as long as it has a target.
+    /// Updates the router's entry for this node, which exists while it has a target and is not
+    /// leaving.
     fn update_own_peer(&mut self, now_us: u64, slots: u32) {
         if slots == 0 || self.stop_after_us.is_some() {
             self.router.remove(now_us, self.identity.id);
@@ -171,7 +172,7 @@
         self.router.put(now_us, peer);
     }
 
-    /// Handles a heartbeat reply with the node's load.
+    /// Handles a heartbeat reply, which carries the load of the replying node.
     pub(super) fn on_pong(
         &mut self,
         now_us: u64,
@@ -270,10 +271,9 @@
         }
     }
 
-    /// Adds a member to the router for calls to its service, as long as it has a target.
+    /// Updates the router's entry for a member, which exists while the member has a target.
     ///
-    /// A member that has no target yet, or has none for the moment, is only removed from the router.
-    /// It does not count as leaving, which is final.
+    /// A member without a target is not marked as leaving, because leaving is final.
     fn update_peer(&mut self, now_us: u64, member: &Member, out: &mut Vec<NodeAction>) {
         if member.slots == 0 {
             self.router.remove(now_us, member.node);
--- a/src/node/event.rs
+++ b/src/node/event.rs
@@ -56,7 +56,7 @@
     Broke,
     /// The answer exceeded the maximum length.
     TooLong,
-    /// The node aborted the request while the target had it.
+    /// The node aborted the request while it ran at the target.
     Aborted,
 }
 
@@ -72,7 +72,7 @@
         /// The service the key is for.
         service: String,
     },
-    /// The client of one of the node's own listeners no longer waits for its request.
+    /// The client of a request on one of the node's own listeners no longer waits for the answer.
     CallerGone {
         /// The request.
         ticket: Ticket,
@@ -225,14 +225,14 @@
     },
     /// Send a request to the target.
     RunTarget(Box<TargetCall>),
-    /// Abort a request that the target has.
+    /// Abort a request that is running at the target.
     AbortTarget {
         /// The attempt.
         attempt: AttemptId,
     },
     /// Report the outcome of a submission to the operator.
     Submitted {
-        /// The random number of the submission.
+        /// The random ID of the submission.
         submission: u64,
         /// Its outcome.
         outcome: SubmitOutcome,
--- a/src/node/hop.rs
+++ b/src/node/hop.rs
@@ -67,11 +67,12 @@
 pub enum HopKey {
     /// The call may run more than once.
     None,
-    /// The key is known to no caller, so each attempt that follows a "not run" gets a new one.
+    /// The node mints a key for each attempt. No caller holds it, so a retry after a "not run" can
+    /// use a new one.
     PerAttempt,
     /// The caller sent a minted key, which only the key's owner may run.
     Minted(Key),
-    /// The caller sent a key of its own format, which the platform's table binds to an owner.
+    /// The caller supplied a key of its own, which the platform's table binds to an owner.
     Foreign(String),
 }
 
@@ -85,7 +86,7 @@
         /// When the wait times out.
         until_us: u64,
     },
-    /// The platform's table, which is asked for the owner of the caller's key.
+    /// The platform's table service, which returns the owner of the caller-supplied key.
     Claiming,
     /// The answer to an attempt.
     Sent {
@@ -96,7 +97,7 @@
         /// When it was sent.
         sent_us: u64,
     },
-    /// A new connection over which the receiver is asked for the verdict of an attempt.
+    /// A new connection to the receiver of an attempt, or the verdict requested over it.
     Fencing {
         /// The attempt.
         attempt: AttemptId,
@@ -105,7 +106,7 @@
         /// When the wait times out.
         until_us: u64,
     },
-    /// The entry node's decision on a retry.
+    /// The decision of the entry node on a retry.
     AwaitingRetryGrant {
         /// The attempt that failed.
         failed: AttemptId,
--- a/src/node/inbound.rs
+++ b/src/node/inbound.rs
@@ -40,7 +40,7 @@
         /// When it was sent to the target, in microseconds since the process started.
         since_us: u64,
     },
-    /// The target was told to abort it; it holds its slot until the target has finished.
+    /// Its abort was requested; it holds its slot until the target has finished.
     Aborting {
         /// When it was sent to the target, in microseconds since the process started.
         since_us: u64,
--- a/src/node/ingress.rs
+++ b/src/node/ingress.rs
@@ -105,12 +105,12 @@
         self.reply_without_hop(ticket, root, verdict, out);
     }
 
-    /// Mints a key that only `owner` may run.
+    /// Mints a key with which only `owner` may run a request.
     pub(super) fn mint_key(&mut self, now_us: u64, owner: NodeId, lifetime: KeyLifetime) -> Key {
         Key::mint(owner, self.unix_ms(now_us), self.rng.random(), lifetime)
     }
 
-    /// Builds the first hop of a request, or the refusal.
+    /// Builds the first hop of a root request; fails with the refusal.
     fn caller_hop(
         &mut self,
         now_us: u64,
@@ -162,7 +162,8 @@
         })
     }
 
-    /// Builds the hop of a call that the target makes while it runs `parent`, or the refusal.
+    /// Builds the hop of a call that the target makes while it runs `parent`; fails with the
+    /// refusal.
     fn child_hop(
         &mut self,
         now_us: u64,
@@ -181,7 +182,7 @@
         let class = self.rules.class_of_rank(frame.class);
         let runs_once = frame.key.is_some() || class.is_some_and(|class| class.at_most_once);
         let at_most_once = runs_once && !SAFE_METHODS.contains(&incoming.request.method.as_str());
-        let asked_us = incoming.deadline_ms.map_or(u64::MAX, |ms| ms.saturating_mul(US_PER_MS));
+        let requested_us = incoming.deadline_ms.map_or(u64::MAX, |ms| ms.saturating_mul(US_PER_MS));
         let trace = TraceContext { parent_span_id: self.rng.random(), ..frame.trace };
         Ok(Hop {
             ticket,
@@ -201,7 +202,7 @@
             request: incoming.request,
             key: if at_most_once { HopKey::PerAttempt } else { HopKey::None },
             started_us: now_us,
-            deadline_us: parent_inbound.deadline_us.min(now_us.saturating_add(asked_us)),
+            deadline_us: parent_inbound.deadline_us.min(now_us.saturating_add(requested_us)),
             retries: 0,
             tried: Vec::new(),
             history: AttemptHistory::default(),
@@ -250,12 +251,12 @@
     }
 }
 
-/// The time a request may take: the caller's deadline, capped by the maximum of its class.
-fn deadline_ms(class: &ClassSettings, asked_ms: Option<u64>) -> u64 {
-    asked_ms.unwrap_or(class.deadline_ms).min(class.deadline_max_ms)
+/// The deadline of a request: the caller's or the default of its class, capped by the maximum.
+fn deadline_ms(class: &ClassSettings, requested_ms: Option<u64>) -> u64 {
+    requested_ms.unwrap_or(class.deadline_ms).min(class.deadline_max_ms)
 }
 
-/// How duplicate runs of a caller's request are prevented.
+/// How duplicate runs of a caller's request are prevented; fails if the caller's key is invalid.
 fn hop_key_of(at_most_once: bool, caller_key: Option<&str>) -> Result<HopKey, ()> {
     let Some(text) = caller_key else {
         return Ok(if at_most_once { HopKey::PerAttempt } else { HopKey::None });
--- a/src/node/links.rs
+++ b/src/node/links.rs
@@ -13,8 +13,8 @@
 const FENCE_TIMEOUT_US: u64 = 1_500_000;
 
 impl Node {
-    /// Handles a lost connection. Attempts that may run more than once fail and can be retried;
-    /// at-most-once attempts are fenced first.
+    /// Handles a lost connection. Attempts that may run more than once fail and can be retried.
+    /// At-most-once attempts wait for a new connection, over which their verdict is requested.
     pub(super) fn on_link_lost(
         &mut self,
         now_us: u64,
@@ -56,7 +56,8 @@
         found
     }
 
-    /// Handles a restored connection: fences the attempts that were sent over the old one.
+    /// Handles a restored connection: requests the verdicts of at-most-once attempts that were sent
+    /// over the old one, and fences those that have not arrived.
     pub(super) fn on_link_up(&mut self, now_us: u64, peer: SocketAddr, out: &mut Vec<NodeAction>) {
         let Some(node) = self.router.node_at(peer) else { return };
         self.router.link_up(now_us, node);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! The decision core of one node, without I/O and without a clock.
+//! The state machine of one node, without I/O or a clock.
 //!
 //! A [`Node`] handles events with their time and returns actions. One thread owns it (see
 //! `duty::decider`); tests own several and deliver the actions between them.
@@ -78,7 +78,7 @@
     admission: Admission,
     /// Selects the node for each attempt.
     router: Router,
-    /// The retry allowances of roots that entered at this node.
+    /// The retry allowances of root requests that entered at this node.
     allowances: RootAllowances,
     /// The retry budgets of this node, by arm.
     budgets: HashMap<ArmId, RetryBudget>,
@@ -105,8 +105,8 @@
     members_requested_us: HashMap<String, u64>,
     /// Pending timers.
     timers: Timers,
-    /// Frames this node sent to itself and has not processed yet.
-    local: VecDeque<LocalFrame>,
+    /// Frames that this node sent to itself and has not processed yet.
+    local_frames: VecDeque<LocalFrame>,
     /// When the node may stop; set once it is leaving.
     stop_after_us: Option<u64>,
     /// Whether [`NodeAction::Exit`] has been emitted.
@@ -166,7 +166,7 @@
             service_latency_us: HashMap::new(),
             members_requested_us: HashMap::new(),
             timers: Timers::default(),
-            local: VecDeque::new(),
+            local_frames: VecDeque::new(),
             stop_after_us: None,
             exit_requested: false,
             store_requests: HashMap::new(),
@@ -243,7 +243,7 @@
 
     /// Processes the frames that this node sent to itself.
     fn process_local_frames(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
-        while let Some(frame) = self.local.pop_front() {
+        while let Some(frame) = self.local_frames.pop_front() {
             match frame {
                 LocalFrame::Call(call) => self.on_call(now_us, ReplyPath::Local, *call, out),
                 LocalFrame::Answer(answer) => self.on_answer(now_us, answer, out),
@@ -262,9 +262,9 @@
                     self.on_inbound_deadline(now_us, attempt, out);
                 }
             }
-            // A local answer produced by this timer must be processed before later timers. Otherwise a
-            // request refused in the queue would reach its sender's deadline first and end as "may have
-            // run".
+            // A local answer produced by this timer must be processed before later timers. Otherwise
+            // a request refused in the queue would reach its sender's deadline first and end as "may
+            // have run".
             self.process_local_frames(now_us, out);
         }
         let mut decisions = Vec::new();
@@ -309,10 +309,10 @@
     /// Queues a message for this node itself.
     fn send_local(&mut self, message: Message) {
         match message {
-            Message::Call(call) => self.local.push_back(LocalFrame::Call(call)),
-            Message::Cancel(attempt) => self.local.push_back(LocalFrame::Cancel(attempt)),
-            // No other message is addressed to this node itself: its allowances and attempt table are
-            // read directly, and there is no connection to lose.
+            Message::Call(call) => self.local_frames.push_back(LocalFrame::Call(call)),
+            Message::Cancel(attempt) => self.local_frames.push_back(LocalFrame::Cancel(attempt)),
+            // No other message is addressed to this node itself: its allowances and attempt table
+            // are read directly, and there is no connection to lose.
             _ => {}
         }
     }
@@ -328,7 +328,7 @@
         self.sequence
     }
 
-    /// Applies the rules in force to the retry budgets; what an arm has earned is kept.
+    /// Applies the rules in force to the retry budgets; each arm keeps its credit.
     fn reset_budgets(&mut self) {
         let mut kept = std::mem::take(&mut self.budgets);
         for arm in &self.rules.arms {
--- a/src/node/note.rs
+++ b/src/node/note.rs
@@ -61,8 +61,8 @@
         arm: ArmId,
         /// How long it ran at the target, in microseconds.
         took_us: u64,
-        /// Whether the run was wasted: the target gave no healthy answer, or the verdict had already
-        /// been sent.
+        /// Whether the run was wasted: the target gave no healthy answer, or the verdict had
+        /// already been sent.
         wasted: bool,
     },
     /// The span of a hop or of a received attempt, for sampled traces.
@@ -76,7 +76,7 @@
     },
 }
 
-/// A verdict as named in headers, logs and metrics.
+/// The names of a verdict and its reason in headers, logs and metrics.
 pub fn outcome_of(verdict: &Verdict) -> Outcome {
     match verdict {
         Verdict::Answered(answer) => {
--- a/src/node/platform.rs
+++ b/src/node/platform.rs
@@ -35,7 +35,7 @@
     ConfigurationRead,
     /// Write the configuration's row.
     ConfigurationWrite {
-        /// The random number of the submission.
+        /// The random ID of the submission.
         submission: u64,
     },
     /// Claim the key of a hop.
@@ -134,7 +134,7 @@
         self.notify_membership(now_us, MembershipEvent::RowsRead { service, rows }, out);
     }
 
-    /// Claims a key of the caller's own format, which binds it to an owner.
+    /// Claims a caller-supplied key, which binds it to an owner.
     pub(super) fn claim_key(
         &mut self,
         now_us: u64,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Handles the answer to the claim of a hop's key.
+    /// Handles the table service's answer to the claim of a hop's key.
     fn on_claim(
         &mut self,
         now_us: u64,
--- a/src/node/receiving.rs
+++ b/src/node/receiving.rs
@@ -6,7 +6,7 @@
 };
 use crate::clock::{US_PER_MS, US_PER_S};
 use crate::event::LogEvent;
-use crate::once::{Arrival, FenceReply, Fingerprint, Offer, ReturnPath as BookReturnPath};
+use crate::once::{Arrival, FenceReply, Fingerprint, Offer, ReturnPath as TableReturnPath};
 
 use super::event::{
     Announcement, LeaveRequester, NodeAction, ReplyPath, TargetCall, TargetOutcome,
@@ -19,9 +19,9 @@
 const TARGET_SILENCE_MAX_US: u64 = 10 * US_PER_S;
 /// The retry-after sent while the node has no usable target, in milliseconds.
 const NO_TARGET_RETRY_MS: u32 = 1_000;
-/// A placeholder for the attempt table. The node tracks return paths itself, because a reply may go
-/// to the node itself.
-const NO_RETURN_PATH: BookReturnPath = BookReturnPath(0);
+/// A placeholder for the return paths of the attempt table, which are not used. The node keeps its
+/// own list, because a reply may go to the node itself.
+const NO_RETURN_PATH: TableReturnPath = TableReturnPath(0);
 /// The maximum depth of a call chain; a deeper one is treated as a loop.
 const DEPTH_MAX: u8 = 32;
 
@@ -38,8 +38,8 @@
             Message::Call(frame) => self.on_call(now_us, path, *frame, out),
             Message::Cancel(attempt) => self.on_cancel(now_us, attempt, out),
             Message::Fence { attempt, asked, .. } if asked != self.identity.id => {
-                // The attempt was sent to an earlier process at this address, which took the verdict
-                // with it.
+                // The attempt was sent to an earlier process at this address, whose verdicts are
+                // lost.
                 let verdict = Verdict::MayHaveRun(Doubt::ConnectionLost);
                 self.answer_with(path, attempt, verdict, LoadReport::default(), out);
             }
@@ -188,13 +188,13 @@
         inbound.stage = Stage::Running { since_us: now_us };
         self.tokens.insert(inbound.token.clone(), attempt);
         let frame = &inbound.frame;
-        let left_ms = inbound.deadline_us.saturating_sub(now_us) / US_PER_MS;
+        let remaining_ms = inbound.deadline_us.saturating_sub(now_us) / US_PER_MS;
         let class = self.rules.class_of_rank(frame.class).map_or("", |class| &class.name);
         let arm = self.rules.arm(frame.arm).map_or("", |arm| &arm.name);
         let trace = TraceContext { parent_span_id: inbound.span_id, ..frame.trace }.header();
         let mut added_headers = vec![
             (super::header::CALL, inbound.token.clone()),
-            (super::header::DEADLINE_MS, left_ms.to_string()),
+            (super::header::DEADLINE_MS, remaining_ms.to_string()),
             (super::header::CLASS, class.to_owned()),
             (super::header::ARM, arm.to_owned()),
             (super::header::TRACEPARENT, trace),
@@ -308,7 +308,8 @@
         self.settle(now_us, attempt, Verdict::MayHaveRun(doubt), out);
     }
 
-    /// Handles a fence: returns the verdict of an attempt, or bars it if it has not arrived yet.
+    /// Handles a fence: returns the verdict of an attempt. If the attempt has not arrived yet, it is
+    /// refused permanently.
     fn on_fence(
         &mut self,
         now_us: u64,
@@ -373,7 +374,8 @@
         self.announce_target(now_us, slots, connections, out);
     }
 
-    /// When the target counts as gone unless it announces itself again, in microseconds.
+    /// When the target counts as gone unless it announces itself before, in microseconds since the
+    /// process started.
     pub(super) fn target_expiry_us(&self) -> Option<u64> {
         self.target.as_ref().map(|target| target.announced_us + TARGET_SILENCE_MAX_US)
     }
@@ -392,7 +394,7 @@
         self.announce_target(now_us, 0, 0, out);
     }
 
-    /// Starts to leave: no new calls are accepted, and calls in flight are finished.
+    /// Starts to leave: the node accepts no new calls and finishes those in flight.
     pub(super) fn start_leaving(
         &mut self,
         now_us: u64,
@@ -415,9 +417,9 @@
             return;
         }
         self.exit_requested = true;
-        let began_us = self.stop_after_us.unwrap_or(now_us);
+        let stop_after_us = self.stop_after_us.unwrap_or(now_us);
         let leave_ms = self.settings.node.leave_ms;
-        let took_ms = now_us.saturating_sub(began_us) / US_PER_MS + leave_ms;
+        let took_ms = now_us.saturating_sub(stop_after_us) / US_PER_MS + leave_ms;
         self.log(LogEvent::LeavingFinished { took_ms, cut_off: 0 }, out);
         out.push(NodeAction::Exit);
     }
--- a/src/node/retrying.rs
+++ b/src/node/retrying.rs
@@ -1,4 +1,4 @@
-//! What follows a failed attempt: a retry granted by the entry node, or the end of the hop.
+//! Retries after failed attempts, which the entry node of the root request grants or refuses.
 
 use crate::call::{ArmId, AttemptId, Message, RootId, Verdict};
 use crate::retry::{Failure, RetryStep, next_step};
@@ -10,7 +10,9 @@
 use super::note::{self, Note};
 
 impl Node {
-    /// Decides what follows an attempt: a retry or the end of the hop.
+    /// Retries a hop after an attempt has ended or none could be sent, or ends the hop.
+    ///
+    /// `failed` is the attempt; none if none was sent.
     pub(super) fn after_attempt(
         &mut self,
         now_us: u64,
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Requests one more attempt, first from this node's retry budget, then from the entry node.
+    /// Requests a retry, first from this node's retry budget, then from the entry node.
     pub(super) fn request_retry(
         &mut self,
         now_us: u64,
@@ -93,7 +95,8 @@
         }
         let failed =
             failed.unwrap_or(AttemptId { origin: self.identity.id, sequence: id.0, nonce: 0 });
-        // The caller waits at the entry node, so a grant stays useful as long as a retry can finish.
+        // The caller waits at the entry node, so a grant is of use as long as a retry can still end
+        // before the deadline.
         let until_us = deadline_us.saturating_sub(self.expected_latency_us(&service)).max(now_us);
         let state =
             HopState::AwaitingRetryGrant { failed, last: last.clone(), backoff_us, until_us };
@@ -122,7 +125,7 @@
         self.apply_retry_decision(now_us, id, last, backoff_us, granted, out);
     }
 
-    /// Ends a hop whose entry node does not decide on its retry.
+    /// Ends a hop whose entry node is unreachable or does not decide on its retry in time.
     pub(super) fn abandon_retry_request(
         &mut self,
         now_us: u64,
@@ -136,7 +139,7 @@
         self.finish_hop(now_us, id, last, out);
     }
 
-    /// Retries or ends a hop according to the entry node's decision.
+    /// Applies the entry node's decision: starts the backoff before a retry, or ends the hop.
     pub(super) fn apply_retry_decision(
         &mut self,
         now_us: u64,
--- a/src/node/sending.rs
+++ b/src/node/sending.rs
@@ -1,4 +1,4 @@
-//! The sending side: attempts, their answers and the end of a hop.
+//! The sending side of a hop: its attempts, their answers and its end.
 
 use crate::call::{
     AnswerFrame, AttemptId, CallFrame, Doubt, Key, KeyLifetime, Message, NodeId, Refusal,
@@ -14,10 +14,10 @@
 use super::note::{self, Note};
 use super::{LocalFrame, Node, TimerKind};
 
-/// How much earlier than the sender's deadline the receiver's deadline is, so that its "not run"
-/// arrives in time.
+/// How much earlier the receiver's deadline is than the sender's, which leaves time for the
+/// receiver's "not run" to arrive.
 const HOP_MARGIN_US: u64 = 3_000;
-/// How long after the first request for a service's members a call waits for one to be known.
+/// How long after the first request for a service's members a call waits for a member.
 const MEMBERS_WAIT_US: u64 = 2 * US_PER_S;
 /// The divisor that gives the weight of one answer in a service's smoothed latency.
 const LATENCY_SMOOTHING_DIVISOR: u64 = 16;
@@ -130,7 +130,7 @@
         let sequence = self.next_sequence();
         let nonce = rand::Rng::random(&mut self.rng);
         let hop = self.hops.get(&id)?;
-        let left_us = hop.deadline_us.saturating_sub(now_us);
+        let remaining_us = hop.deadline_us.saturating_sub(now_us);
         Some(CallFrame {
             attempt: AttemptId { origin: self.identity.id, sequence, nonce },
             root: hop.root,
@@ -139,7 +139,7 @@
             class: hop.class,
             level: hop.level,
             arm: hop.arm,
-            remaining_us: left_us.saturating_sub(HOP_MARGIN_US),
+            remaining_us: remaining_us.saturating_sub(HOP_MARGIN_US),
             depth: hop.depth,
             retry: hop.retries,
             service: hop.service.clone(),
@@ -382,11 +382,11 @@
             return;
         }
         let Some(hop) = self.hops.get(&id) else { return };
-        let Some(known_us) = self.service_latency_us.get_mut(&hop.service) else {
+        let Some(smoothed_us) = self.service_latency_us.get_mut(&hop.service) else {
             self.service_latency_us.insert(hop.service.clone(), latency_us);
             return;
         };
-        *known_us = *known_us - *known_us / LATENCY_SMOOTHING_DIVISOR
+        *smoothed_us = *smoothed_us - *smoothed_us / LATENCY_SMOOTHING_DIVISOR
             + latency_us / LATENCY_SMOOTHING_DIVISOR;
     }
 
@@ -408,7 +408,7 @@
 
     /// Queues the answer to an attempt that this node sent to itself.
     pub(super) fn answer_local(&mut self, answer: AnswerFrame) {
-        self.local.push_back(LocalFrame::Answer(answer));
+        self.local_frames.push_back(LocalFrame::Answer(answer));
     }
 }
 
--- a/src/node/settling.rs
+++ b/src/node/settling.rs
@@ -12,7 +12,7 @@
 use super::note::{self, Note};
 
 /// How long a verdict is kept after its attempt's deadline. A sender that lost its connection sends
-/// a fence within 1.5 s; after the verdict is dropped, a watermark answers for the attempt.
+/// a fence within 1.5 s. Once the verdict is dropped, the attempt table answers by a watermark.
 const VERDICT_RETENTION_US: u64 = 3 * US_PER_S;
 
 /// Creates the ledger of a new node.
@@ -26,7 +26,7 @@
 }
 
 impl Node {
-    /// Records the verdict of an attempt and sends it to all that wait for it.
+    /// Records the verdict of an attempt and sends it on all of its reply paths.
     ///
     /// An attempt that is still at the target stays registered until the target has finished.
     pub(super) fn settle(
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Records the verdict for an attempt's key in the ledger and settles the attempts that joined it.
+    /// Records the verdict for an attempt's key in the ledger and settles the attempts that joined
+    /// it.
     pub(super) fn finish_key(
         &mut self,
         now_us: u64,
--- a/src/node/timer.rs
+++ b/src/node/timer.rs
@@ -6,13 +6,13 @@
 
 use super::hop::HopId;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerKind {
     /// The deadline of a hop.
     HopDeadline(HopId),
-    /// The time-out of a hop's current state. A timer of an earlier state is stale; the hop checks
-    /// the time-out stored in its state.
+    /// The time-out of a hop's current state. A timer of an earlier state may still fire, so the
+    /// handler compares it with the time-out in the state.
     HopTimeout(HopId),
     /// The deadline of an attempt that this node received.
     InboundDeadline(AttemptId),
@@ -46,7 +46,7 @@
         Some(kind)
     }
 
-    /// When the earliest timer is kind, in microseconds since the process started.
+    /// When the earliest timer is due, in microseconds since the process started.
     pub fn next_us(&self) -> Option<u64> {
         self.queue.first().map(|(at_us, _)| *at_us)
     }
