--- a/src/configuration/document.rs
+++ b/src/configuration/document.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// The value of the row.
+/// The value of the configuration row in the table service.
 #[derive(Serialize, Deserialize)]
 struct RowValue {
     #[serde(flatten)]
@@ -60,7 +60,7 @@
 }
 
 impl Accepted {
-    /// The value of the row; none if the document is not JSON.
+    /// The value to store in the row; none if the document is not JSON.
     pub fn to_value(&self) -> Option<serde_json::Value> {
         let value = RowValue {
             entry: self.entry.clone(),
--- a/src/configuration/event.rs
+++ b/src/configuration/event.rs
@@ -9,10 +9,10 @@
 
 use super::document::{Accepted, HistoryEntry, TableRow};
 
-/// The outcome of reading the row.
+/// The outcome of reading the configuration row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RowRead {
-    /// The row.
+    /// The row exists.
     Present(TableRow),
     /// There is no row: nothing has ever been accepted.
     Absent,
@@ -20,7 +20,7 @@
     Failed,
 }
 
-/// The outcome of writing the row.
+/// The outcome of writing the configuration row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RowWrite {
     /// It was written.
@@ -78,12 +78,12 @@
         /// The latest acceptance; none if none is known.
         lost_to: Option<HistoryEntry>,
     },
-    /// The document cannot be turned into valid rules.
+    /// No valid rules can be built from the document.
     Invalid {
         /// The reason.
         cause: String,
     },
-    /// It was not accepted and will not be, because the table service is unavailable.
+    /// It was not accepted, and will not be, because the table service is unavailable.
     StoreAway,
     /// It may have been accepted, or may still be: a write got no definite answer.
     Unknown,
@@ -94,19 +94,19 @@
 /// An input of the configuration state machine.
 #[derive(Clone, Debug)]
 pub enum ConfigurationEvent<'a> {
-    /// The row was read.
-    TableRead(RowRead),
-    /// A write of the row ended.
-    TableWritten {
-        /// The ID of the submission, from the value that was to be written.
+    /// A read of the configuration row ended.
+    RowRead(RowRead),
+    /// A write of the configuration row ended.
+    RowWritten {
+        /// The ID of the submission in the value of the write.
         submission: u64,
         /// The outcome of the write.
         write: RowWrite,
     },
     /// A peer reported its version.
-    PeerHas(PeerVersion),
+    PeerVersion(PeerVersion),
     /// A configuration message arrived from a peer.
-    Peer(&'a [u8]),
+    PeerMessage(&'a [u8]),
     /// An operator submits a document.
     Submit(Submit),
     /// Time has passed.
@@ -116,17 +116,17 @@
 /// An output of the configuration state machine, to be carried out by the node.
 #[derive(Clone, Debug)]
 pub enum ConfigurationAction {
-    /// Read the row.
-    ReadTable,
-    /// Write the row.
-    WriteTable {
+    /// Read the configuration row.
+    ReadRow,
+    /// Write the configuration row by compare-and-set.
+    WriteRow {
         /// The expected version of the row, or none if the row must not exist.
         expected: Option<u64>,
         /// The value.
         accepted: Arc<Accepted>,
     },
     /// Send a configuration message to a peer. Delivery is not guaranteed.
-    SendPeer {
+    SendMessage {
         /// The peer's address.
         to: SocketAddr,
         /// The message.
--- a/src/configuration/fetch.rs
+++ b/src/configuration/fetch.rs
@@ -8,9 +8,9 @@
 
 /// Maximum size of a message that is decoded, in bytes.
 const MESSAGE_MAX_BYTES: usize = 4 << 20;
-/// Maximum number of peers kept that have the newest version.
+/// Maximum number of peers to remember that have the newest version.
 const SOURCES_MAX: usize = 8;
-/// How long to wait for a document before another peer is asked, in microseconds.
+/// How long to wait for a document before requesting it from the next peer, in microseconds.
 const FETCH_TIMEOUT_US: u64 = 1_000_000;
 
 /// The configuration messages between nodes.
@@ -20,7 +20,7 @@
     Ask {
         /// The address to send the document to.
         reply_to: SocketAddr,
-        /// The lowest version that is of use.
+        /// The lowest version that the sender can use.
         at_least: u64,
     },
     /// The document in force at the sender.
@@ -47,9 +47,9 @@
 #[derive(Debug, Default)]
 pub(super) struct Fetch {
     newest: u64,
-    heard_us: u64,
+    newest_reported_us: u64,
     sources: Vec<SocketAddr>,
-    /// Index of the source that is asked next, before wrapping around.
+    /// Index of the source of the next request, modulo the number of sources.
     next_source: usize,
     request_deadline_us: Option<u64>,
 }
@@ -60,28 +60,28 @@
         self.newest
     }
 
-    /// When the newest version was first reported.
-    pub(super) fn heard_us(&self) -> u64 {
-        self.heard_us
+    /// When the newest version was first reported to this node, in microseconds.
+    pub(super) fn newest_reported_us(&self) -> u64 {
+        self.newest_reported_us
     }
 
     /// Records that `version` exists and, if `peer` is given, that this peer has it.
     pub(super) fn observe(&mut self, now_us: u64, peer: Option<SocketAddr>, version: u64) {
         if version > self.newest {
             self.newest = version;
-            self.heard_us = now_us;
+            self.newest_reported_us = now_us;
             self.sources.clear();
             self.next_source = 0;
         }
         let Some(peer) = peer else { return };
-        let room = self.sources.len() < SOURCES_MAX;
-        if version == self.newest && room && !self.sources.contains(&peer) {
+        let has_room = self.sources.len() < SOURCES_MAX;
+        if version == self.newest && has_room && !self.sources.contains(&peer) {
             self.sources.push(peer);
         }
     }
 
-    /// The peer to ask now, if a version newer than `in_force` is known and no request for it is
-    /// outstanding. The request counts as started.
+    /// The peer to request the document from, if a version newer than `in_force` is known and no
+    /// request for it is outstanding. The request counts as started.
     pub(super) fn start_request(&mut self, now_us: u64, in_force: u64) -> Option<SocketAddr> {
         if self.newest <= in_force
             || self.request_deadline_us.is_some_and(|deadline_us| now_us < deadline_us)
@@ -94,7 +94,7 @@
         Some(peer)
     }
 
-    /// When the outstanding request times out and the next peer is due to be asked.
+    /// When the outstanding request times out and the next one is due; none if none is needed.
     pub(super) fn next_wake_us(&self, in_force: u64) -> Option<u64> {
         if self.newest <= in_force || self.sources.is_empty() {
             return None;
--- a/src/configuration/state.rs
+++ b/src/configuration/state.rs
@@ -36,9 +36,9 @@
     /// How long the node may serve after a newer version became known, in microseconds.
     #[builder(default = 3 * US_PER_S)]
     pub grace_us: u64,
-    /// After how long a node may serve without a confirmed version, in microseconds, when the table
-    /// service is unavailable and no peer has a confirmed version either, as after a cold start of
-    /// the whole site.
+    /// How long a node waits for a confirmed version before it serves without one, in microseconds.
+    /// Applies while the table service is unavailable and no peer has a confirmed version, as after
+    /// a cold start of the whole site.
     #[builder(default = 10 * US_PER_S)]
     pub cold_start_us: u64,
     /// Timeout of a submission, in microseconds.
@@ -56,13 +56,14 @@
 const SMALL_SITE_NODES: u64 = 20;
 /// The largest factor by which the read interval of a large site is scaled up.
 const READ_INTERVAL_FACTOR_MAX: u64 = 10;
-/// The first reads per second of a whole site whose nodes all start at once. The membership adds as
-/// many reads.
+/// The rate, per second, of the first reads of a site whose nodes all start at once. The membership
+/// adds as many reads.
 const SITE_FIRST_READS_PER_S: u64 = 800;
 /// The base of the backoff while the table service is unavailable, in microseconds.
 const BACKOFF_US: u64 = US_PER_S;
 
-/// The configuration of one node: what is in force, what is being fetched and what is submitted.
+/// The configuration of one node: the version in force, the fetch of a newer one and the current
+/// submission.
 pub struct Configuration {
     options: ConfigurationOptions,
     build: BuildRules,
@@ -74,7 +75,7 @@
     /// start or the last pause of the process.
     confirmed: bool,
     /// When the first peer reported its version after the start or the last pause.
-    cold_since_us: Option<u64>,
+    first_peer_report_us: Option<u64>,
     ready: bool,
     next_read_us: u64,
     read_deadline_us: Option<u64>,
@@ -95,8 +96,8 @@
 }
 
 impl Configuration {
-    /// The configuration of a node that starts: version 0, the settings the node started with. The
-    /// node may not serve yet.
+    /// Creates the state of a starting node: version 0, which stands for its own settings. The node
+    /// may not serve yet.
     pub fn new(
         now_us: u64,
         options: ConfigurationOptions,
@@ -110,7 +111,7 @@
             unusable_version: 0,
             fetch: Fetch::default(),
             confirmed: false,
-            cold_since_us: None,
+            first_peer_report_us: None,
             ready: false,
             next_read_us: now_us + rng.random_range(0..=spread_us),
             read_deadline_us: None,
@@ -151,12 +152,12 @@
     ) {
         self.detect_pause(now_us);
         match event {
-            ConfigurationEvent::TableRead(read) => self.handle_read(now_us, &read, rng, out),
-            ConfigurationEvent::TableWritten { submission, write } => {
+            ConfigurationEvent::RowRead(read) => self.handle_read(now_us, &read, rng, out),
+            ConfigurationEvent::RowWritten { submission, write } => {
                 self.handle_write(now_us, submission, &write, out);
             }
-            ConfigurationEvent::PeerHas(peer) => self.handle_peer_version(now_us, &peer),
-            ConfigurationEvent::Peer(bytes) => self.handle_message(now_us, bytes, out),
+            ConfigurationEvent::PeerVersion(peer) => self.handle_peer_version(now_us, &peer),
+            ConfigurationEvent::PeerMessage(bytes) => self.handle_message(now_us, bytes, out),
             ConfigurationEvent::Submit(submit) => self.submit(now_us, submit, out),
             ConfigurationEvent::Tick => {}
         }
@@ -166,7 +167,8 @@
     /// When the next `Tick` is due.
     pub fn next_wake_us(&self) -> u64 {
         let mut wake_us = self.next_read_us.max(self.read_deadline_us.unwrap_or(0));
-        // A time without events must not be mistaken for a pause of the process.
+        // Ticks must be frequent enough that a time without events is not mistaken for a pause of
+        // the process.
         wake_us = wake_us.min(self.last_event_us + self.options.pause_min_us / 2);
         if let Some(at_us) = self.fetch.next_wake_us(self.version()) {
             wake_us = wake_us.min(at_us);
@@ -174,12 +176,12 @@
         if let Some(submission) = &self.submission {
             wake_us = wake_us.min(submission.next_wake_us());
         }
-        if let (false, Some(since_us)) = (self.ready, self.cold_since_us) {
+        if let (false, Some(since_us)) = (self.ready, self.first_peer_report_us) {
             let at_us = since_us + self.options.cold_start_us;
             wake_us = if at_us > self.last_event_us { wake_us.min(at_us) } else { wake_us };
         }
         if self.ready && self.fetch.newest() > self.version() {
-            let at_us = self.fetch.heard_us() + self.options.grace_us;
+            let at_us = self.fetch.newest_reported_us() + self.options.grace_us;
             wake_us = if at_us > self.last_event_us { wake_us.min(at_us) } else { wake_us };
         }
         wake_us
@@ -193,7 +195,7 @@
             return;
         }
         self.confirmed = false;
-        self.cold_since_us = None;
+        self.first_peer_report_us = None;
         self.next_read_us = now_us;
     }
 
@@ -256,7 +258,7 @@
     fn handle_peer_version(&mut self, now_us: u64, peer: &PeerVersion) {
         self.fetch.observe(now_us, Some(peer.peer), peer.version);
         self.confirmed |= peer.confirmed;
-        self.cold_since_us.get_or_insert(now_us);
+        self.first_peer_report_us.get_or_insert(now_us);
     }
 
     fn handle_message(&mut self, now_us: u64, bytes: &[u8], out: &mut Vec<ConfigurationAction>) {
@@ -283,7 +285,7 @@
             return;
         }
         let bytes = PeerMessage::Content(Accepted::clone(accepted)).encode();
-        out.push(ConfigurationAction::SendPeer { to: reply_to, bytes });
+        out.push(ConfigurationAction::SendMessage { to: reply_to, bytes });
     }
 
     /// Puts a document in force if it is newer. Nothing else changes the version in force.
@@ -321,7 +323,7 @@
             }
         };
         self.submission = Some(Submission::new(submit, now_us + self.options.submit_us));
-        out.push(ConfigurationAction::ReadTable);
+        out.push(ConfigurationAction::ReadRow);
     }
 
     fn finish(
@@ -348,21 +350,21 @@
             let outcome = submission.tick(now_us, out);
             self.finish(now_us, outcome, out);
         }
-        let reading = self.read_deadline_us.is_some_and(|deadline_us| now_us < deadline_us);
-        if !reading && now_us >= self.next_read_us {
+        let is_reading = self.read_deadline_us.is_some_and(|deadline_us| now_us < deadline_us);
+        if !is_reading && now_us >= self.next_read_us {
             self.read_deadline_us = Some(now_us + self.options.store_timeout_us);
-            out.push(ConfigurationAction::ReadTable);
+            out.push(ConfigurationAction::ReadRow);
         }
         let version = self.version().max(self.unusable_version);
         if let Some(peer) = self.fetch.start_request(now_us, version) {
             let reply_to = self.options.reply_to;
             let bytes = PeerMessage::Ask { reply_to, at_least: self.fetch.newest() }.encode();
-            out.push(ConfigurationAction::SendPeer { to: peer, bytes });
+            out.push(ConfigurationAction::SendMessage { to: peer, bytes });
         }
         self.update_readiness(now_us, out);
     }
 
-    /// Decides whether the node may serve.
+    /// Updates whether the node may serve, and reports a change.
     fn update_readiness(&mut self, now_us: u64, out: &mut Vec<ConfigurationAction>) {
         let ready = self.may_serve(now_us);
         if ready == self.ready {
@@ -374,19 +376,20 @@
 
     fn may_serve(&self, now_us: u64) -> bool {
         if self.fetch.newest() > self.version() {
-            let late_us = now_us.saturating_sub(self.fetch.heard_us());
-            return self.ready && self.confirmed && late_us < self.options.grace_us;
+            let outdated_us = now_us.saturating_sub(self.fetch.newest_reported_us());
+            return self.ready && self.confirmed && outdated_us < self.options.grace_us;
         }
         if self.confirmed {
             return true;
         }
-        let table_unavailable = self.read_failures > 0;
-        let cold_us = self.cold_since_us.map_or(0, |since_us| now_us.saturating_sub(since_us));
-        table_unavailable && cold_us >= self.options.cold_start_us
+        let is_table_unavailable = self.read_failures > 0;
+        let waited_us =
+            self.first_peer_report_us.map_or(0, |since_us| now_us.saturating_sub(since_us));
+        is_table_unavailable && waited_us >= self.options.cold_start_us
     }
 }
 
-/// The document in the form in which the table service returns it, or why it is not JSON.
+/// The document in the form in which the table service returns it; fails if it is not JSON.
 fn canonical_json(document: &str) -> Result<String, String> {
     let value: serde_json::Value = serde_json::from_str(document).map_err(|e| e.to_string())?;
     Ok(value.to_string())
--- a/src/configuration/submission.rs
+++ b/src/configuration/submission.rs
@@ -5,14 +5,14 @@
 use super::document::{Accepted, HistoryEntry, TableRow};
 use super::event::{ConfigurationAction, RowRead, RowWrite, Submit, SubmitOutcome};
 
-/// What the submission is waiting for.
+/// The current step of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     /// The row is being read.
     Reading,
     /// The row is being written.
     Writing,
-    /// The row is read again at this time, in microseconds.
+    /// The row will be read again at this time, in microseconds.
     Waiting(u64),
 }
 
@@ -98,7 +98,7 @@
         let accepted = Arc::new(self.next(present));
         self.last_write = Some(accepted.clone());
         self.step = Step::Writing;
-        out.push(ConfigurationAction::WriteTable {
+        out.push(ConfigurationAction::WriteRow {
             expected: row.map(|row| row.row_version),
             accepted,
         });
@@ -160,21 +160,25 @@
         Some(SubmitOutcome::Conflict { lost_to: Some(row.accepted.entry.clone()) })
     }
 
-    /// Reads the row again when that is due, and gives up at the deadline.
+    /// Reads the row again when it is time to, and ends the submission at its deadline.
     pub(super) fn tick(
         &mut self,
         now_us: u64,
         out: &mut Vec<ConfigurationAction>,
     ) -> Option<SubmitOutcome> {
         if now_us >= self.deadline_us {
-            let unsettled = self.in_doubt || self.step == Step::Writing;
-            return Some(if unsettled { SubmitOutcome::Unknown } else { SubmitOutcome::StoreAway });
+            let may_be_accepted = self.in_doubt || self.step == Step::Writing;
+            return Some(if may_be_accepted {
+                SubmitOutcome::Unknown
+            } else {
+                SubmitOutcome::StoreAway
+            });
         }
         if let Step::Waiting(at_us) = self.step
             && now_us >= at_us
         {
             self.step = Step::Reading;
-            out.push(ConfigurationAction::ReadTable);
+            out.push(ConfigurationAction::ReadRow);
         }
         None
     }
--- a/src/membership/contact.rs
+++ b/src/membership/contact.rs
@@ -19,7 +19,7 @@
 struct Contact {
     address: SocketAddr,
     service: ServiceTag,
-    heard_us: u64,
+    last_digest_us: u64,
 }
 
 /// Nodes that sent digests recently, and addresses that peers referred this node to.
@@ -36,12 +36,13 @@
         if self.contacts.len() >= CONTACTS_MAX {
             self.contacts.pop_front();
         }
-        self.contacts.push_back(Contact { address, service, heard_us: now_us });
+        self.contacts.push_back(Contact { address, service, last_digest_us: now_us });
     }
 
     /// Removes contacts whose last digest is older than `CONTACT_TTL_US`.
     pub(super) fn expire(&mut self, now_us: u64) {
-        self.contacts.retain(|contact| now_us.saturating_sub(contact.heard_us) < CONTACT_TTL_US);
+        self.contacts
+            .retain(|contact| now_us.saturating_sub(contact.last_digest_us) < CONTACT_TTL_US);
     }
 
     /// The peer addresses of the contacts.
@@ -49,10 +50,14 @@
         self.contacts.iter().map(|contact| contact.address)
     }
 
-    /// A node that `asker` may ask about `service`: a contact of that service if there is one, or
-    /// else any other contact.
-    pub(super) fn referral(&self, service: ServiceTag, asker: SocketAddr) -> Option<SocketAddr> {
-        let others = || self.contacts.iter().rev().filter(|contact| contact.address != asker);
+    /// The address of a node that may know members of `service`, for `requester`: the latest
+    /// contact of that service if there is one, or else the latest of any service.
+    pub(super) fn referral(
+        &self,
+        service: ServiceTag,
+        requester: SocketAddr,
+    ) -> Option<SocketAddr> {
+        let others = || self.contacts.iter().rev().filter(|contact| contact.address != requester);
         let of_service = others().find(|contact| contact.service == service);
         of_service.or(others().next()).map(|contact| contact.address)
     }
--- a/src/membership/event.rs
+++ b/src/membership/event.rs
@@ -5,7 +5,7 @@
 use crate::call::NodeId;
 
 use super::member::{Member, MemberRow};
-use super::wire::ConfigurationMark;
+use super::wire::ReportedConfiguration;
 
 /// An input of the membership state machine.
 #[derive(Debug)]
@@ -48,19 +48,19 @@
         /// The message.
         bytes: &'a [u8],
     },
-    /// A message of any kind arrived from a node.
-    Heard {
+    /// A message other than gossip arrived from a node, which shows that the node is alive.
+    MessageReceived {
         /// The node.
         node: NodeId,
     },
-    /// The node's configuration version changed, or whether it is confirmed.
-    Configuration(ConfigurationMark),
+    /// The node's configuration version, or its confirmation, changed.
+    Configuration(ReportedConfiguration),
     /// The node starts to leave.
     Leave,
     /// Time has passed.
     Tick,
     /// The node calls this service, so its members must be tracked.
-    WantService(&'a str),
+    TrackService(&'a str),
 }
 
 /// An output of the membership state machine, to be carried out by the node.
@@ -103,7 +103,7 @@
         /// The address of the peer.
         peer: SocketAddr,
         /// Its version and whether that is confirmed.
-        mark: ConfigurationMark,
+        reported: ReportedConfiguration,
     },
     /// A later incarnation holds this node's name, so this one must take no new work.
     Superseded {
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip between peers: digests, replies and the records that one side lacks.
+//! Gossip between peers: sends digests, replies to them, and sends the records that a peer lacks.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 use super::state::Membership;
 use super::wire::{self, Body, Gossip, Group, Header, Heartbeat, Record};
 
-/// How many peers get a hello in each round that follows a configuration change.
+/// How many peers receive a hello in each of the rounds that follow a configuration change.
 const HELLO_PEERS: usize = 2;
 /// Maximum number of records requested in one reply.
 const WANTED_MAX: usize = 64;
@@ -55,9 +55,9 @@
         if from == self.own.node {
             return;
         }
-        self.last_peer_us = Some(now_us);
+        self.last_gossip_us = Some(now_us);
         self.view.mark_alive(from, now_us);
-        out.push(MembershipAction::PeerConfiguration { peer: address, mark: configuration });
+        out.push(MembershipAction::PeerConfiguration { peer: address, reported: configuration });
         match message.body {
             Body::Digest { own, own_service, groups } => {
                 if !self.interests.contains(own_service) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Applies a heartbeat; false if the full record is needed.
+    /// Applies a heartbeat; returns false if the full record is needed.
     fn apply_heartbeat(&mut self, now_us: u64, heartbeat: &Heartbeat) -> bool {
         let node = NodeId(heartbeat.node);
         if node == self.own.node || !self.view.accepts(node, heartbeat.beat) {
@@ -108,7 +108,7 @@
     fn build_reply(
         &mut self,
         now_us: u64,
-        asker: SocketAddr,
+        requester: SocketAddr,
         own: Heartbeat,
         own_service: ServiceTag,
         groups: &[Group],
@@ -123,7 +123,7 @@
         for group in groups {
             if !self.interests.contains(group.service) {
                 if group.whole && group.heartbeats.is_empty() {
-                    referrals.extend(self.contacts.referral(group.service, asker));
+                    referrals.extend(self.contacts.referral(group.service, requester));
                 }
                 continue;
             }
@@ -143,7 +143,7 @@
     fn collect_missing(
         &self,
         now_us: u64,
-        asker: u64,
+        requester: u64,
         group: &Group,
         heartbeats: &mut Vec<Heartbeat>,
         records: &mut Vec<Record>,
@@ -151,7 +151,7 @@
         let mut theirs: Vec<&Heartbeat> = group.heartbeats.iter().collect();
         theirs.sort_unstable_by_key(|heartbeat| heartbeat.node);
         for (member, alive_us) in self.known_members(now_us, group.service) {
-            if member.node.0 == asker {
+            if member.node.0 == requester {
                 continue;
             }
             let place = theirs.binary_search_by_key(&member.node.0, |heartbeat| heartbeat.node);
@@ -199,9 +199,9 @@
         }
     }
 
-    /// Runs one gossip round: sends a digest to a member of the own service and, at random, to a
+    /// Runs one gossip round: sends a digest to a member of the node's service and, at random, to a
     /// member of each service that this node calls. All members of a service call the same
-    /// services, so the chance of the latter is one in the size of the own service.
+    /// services, so each sends the latter digest with a probability of 1 / (size of its service).
     pub(super) fn run_gossip_round(
         &mut self,
         now_us: u64,
@@ -214,9 +214,9 @@
             let digest = self.build_digest(now_us, self.interests.tags(), rng);
             self.send(*to, digest, out);
         }
-        let sharers = u32::try_from(own_peers.len()).unwrap_or(u32::MAX).saturating_add(1);
+        let service_size = u32::try_from(own_peers.len()).unwrap_or(u32::MAX).saturating_add(1);
         for tag in self.interests.tags() {
-            if tag == own || !rng.random_ratio(1, sharers) {
+            if tag == own || !rng.random_ratio(1, service_size) {
                 continue;
             }
             let peers = self.peer_addresses(|other| other == tag);
@@ -239,7 +239,8 @@
         self.interests.tags().iter().any(|tag| self.view.size(*tag) == 0)
     }
 
-    /// Sends a digest to a referral, a seed or a removed member, so that partitions merge again.
+    /// Sends a digest to a referral, a seed or a removed member, which merges partitions once they
+    /// reach each other again.
     fn probe(&mut self, now_us: u64, rng: &mut SmallRng, out: &mut Vec<MembershipAction>) {
         let mut addresses = self.view.lost_addresses();
         addresses.extend(self.contacts.next_referral());
--- a/src/membership/interest.rs
+++ b/src/membership/interest.rs
@@ -36,7 +36,7 @@
         Self { own: tag, services: BTreeMap::from([(tag, own.to_owned())]) }
     }
 
-    /// Starts to track `service`; false if it is tracked already.
+    /// Starts to track `service`; returns false if it is tracked already.
     pub(super) fn add(&mut self, service: &str) -> bool {
         self.services.insert(ServiceTag::new(service), service.to_owned()).is_none()
     }
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -40,8 +40,8 @@
     /// Incremented by the member itself with every change of another field.
     pub revision: u32,
     /// When the incarnation started, in milliseconds since the Unix epoch. Of two incarnations with
-    /// one name, the later one wins. A new incarnation that finds its predecessor's row sets its
-    /// own value just above the predecessor's, so that a clock that is behind does no harm.
+    /// one name, the later one keeps it. A new incarnation that finds its predecessor's row sets
+    /// its own value just above the predecessor's, because its clock may be behind.
     pub started_unix_ms: u64,
 }
 
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -23,4 +23,4 @@
 pub use member::{Member, MemberRow, MemberState, row_key, row_prefix};
 pub use options::MembershipOptions;
 pub use state::{Membership, OwnMember};
-pub use wire::ConfigurationMark;
+pub use wire::ReportedConfiguration;
--- a/src/membership/options.rs
+++ b/src/membership/options.rs
@@ -54,8 +54,7 @@
     #[builder(default = 10 * US_PER_S)]
     pub pause_min_us: u64,
     /// The expected number of nodes of the site. The first reads and writes after a start are
-    /// spread accordingly, so that a site whose nodes all start at once does not overload the table
-    /// service.
+    /// spread accordingly, to not overload the table service when all nodes start at once.
     #[builder(default = 20)]
     pub site_nodes: u32,
     /// Peer addresses to contact when the table service is unavailable.
@@ -83,11 +82,12 @@
 
     /// The gossip interval of a node that knows `members` members, in microseconds.
     pub fn gossip_interval_us(&self, members: usize) -> u64 {
-        let wanted_us = self.gossip_us.max(self.gossip_per_member_us * members as u64);
-        wanted_us.min(self.gossip_max_us)
+        let scaled_us = self.gossip_us.max(self.gossip_per_member_us * members as u64);
+        scaled_us.min(self.gossip_max_us)
     }
 
-    /// After how long without a heartbeat a member of such a service is removed, in microseconds.
+    /// How long a member of a service with `members` members may go without a heartbeat before it
+    /// is removed, in microseconds.
     pub fn age_out_us(&self, members: usize) -> u64 {
         self.beat_interval_us(members) * self.beats_missed
     }
--- a/src/membership/rows.rs
+++ b/src/membership/rows.rs
@@ -1,5 +1,5 @@
-//! Schedules reads and writes of member rows so that the whole site does not overload the table
-//! service.
+//! Schedules one node's reads and writes of member rows, at rates that keep a large site from
+//! overloading the table service.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,12 +14,13 @@
 
 /// How many times longer the read interval is while gossip arrives from peers.
 const READ_INTERVAL_FACTOR: u64 = 4;
-/// The row writes per second of a whole site whose nodes all start at once.
+/// The rate, per second, of the first row writes of a site whose nodes all start at once.
 const SITE_WRITES_PER_S: u64 = 200;
-/// The first reads per second of a whole site whose nodes all start at once. The configuration adds
-/// as many reads.
+/// The rate, per second, of the first reads of a site whose nodes all start at once. The
+/// configuration adds as many reads.
 const SITE_FIRST_READS_PER_S: u64 = 800;
-/// The approximate reads per second of such a site while each node reads its remaining services.
+/// The approximate rate, per second, of the reads that follow on such a site, when each node reads
+/// its remaining services.
 const SITE_READS_PER_S: u64 = 250;
 /// The longest random delay before a write after a change or a conflict, in microseconds.
 const WRITE_SPREAD_US: u64 = 2 * US_PER_S;
@@ -29,7 +30,7 @@
 /// The base of the backoff after failures, in microseconds.
 const BACKOFF_US: u64 = US_PER_S;
 
-/// When an outstanding request to the table service times out; none if there is none.
+/// When an outstanding request to the table service times out; none if no request is outstanding.
 type RequestDeadline = Option<u64>;
 
 /// Exponential backoff with jitter.
@@ -77,8 +78,8 @@
 }
 
 impl RowSchedule {
-    /// A schedule whose first requests are spread so that a site whose nodes all start at once does
-    /// not overload the table service.
+    /// Creates a schedule whose first requests are due at random times, which spreads the load on
+    /// the table service when all nodes of a site start at once.
     pub(super) fn new(
         now_us: u64,
         own_service: &str,
@@ -112,11 +113,11 @@
         options: &MembershipOptions,
         rng: &mut SmallRng,
     ) {
-        let first = self.unread == self.queue.len();
+        let is_before_first_read = self.unread == self.queue.len();
         self.queue.insert(self.unread, service.to_owned());
         self.unread += 1;
         // Before the first read, the start-up spread applies; while reads fail, the backoff does.
-        if first || self.read_backoff.failures > 0 {
+        if is_before_first_read || self.read_backoff.failures > 0 {
             return;
         }
         let soon_us = now_us + rng.random_range(0..=read_spread_us(options));
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Moves the next write of the own row forward because its content changed. The first write is
-    /// not moved, because many nodes may have started and found their targets at once.
+    /// Moves the next write of the node's own row forward because its content changed. The first
+    /// write is not moved, because many nodes may have started and found their targets at once.
     pub(super) fn schedule_write(&mut self, now_us: u64, rng: &mut SmallRng) {
         if self.write_backoff.failures > 0 || !self.written_once {
             return;
@@ -142,7 +143,7 @@
         self.next_write_us = self.next_write_us.min(soon_us);
     }
 
-    /// Whether a write of the own row is due. If so, the write counts as started.
+    /// Whether a write of the node's own row is due. If so, the write counts as started.
     pub(super) fn start_due_write(&mut self, now_us: u64, options: &MembershipOptions) -> bool {
         if self.writing.is_some_and(|until_us| now_us < until_us) || now_us < self.next_write_us {
             return false;
@@ -166,7 +167,7 @@
         self.queue.front().cloned()
     }
 
-    /// Records a successful write of the own row.
+    /// Records a successful write of the node's own row.
     pub(super) fn write_succeeded(
         &mut self,
         now_us: u64,
@@ -181,7 +182,7 @@
         self.next_write_us = now_us + jitter(options.announce_us, rng);
     }
 
-    /// Records that the own row has another version than expected.
+    /// Records that the node's own row has another version than expected.
     pub(super) fn write_conflicted(
         &mut self,
         now_us: u64,
@@ -205,13 +206,13 @@
         self.next_write_us = now_us + wait_us;
     }
 
-    /// Records a successful read. `heard_peers` says whether gossip arrived recently,
+    /// Records a successful read. `has_recent_gossip` says whether gossip arrived recently, and
     /// `has_empty_service` whether a service that the node calls has no known member.
     pub(super) fn read_succeeded(
         &mut self,
         now_us: u64,
         service: &str,
-        heard_peers: bool,
+        has_recent_gossip: bool,
         has_empty_service: bool,
         options: &MembershipOptions,
         rng: &mut SmallRng,
@@ -223,12 +224,12 @@
             self.queue.rotate_left(1);
             self.unread = self.unread.saturating_sub(1);
         }
-        self.next_read_us = now_us + self.read_wait_us(heard_peers, options, rng);
+        self.next_read_us = now_us + self.read_wait_us(has_recent_gossip, options, rng);
     }
 
     fn read_wait_us(
         &self,
-        heard_peers: bool,
+        has_recent_gossip: bool,
         options: &MembershipOptions,
         rng: &mut SmallRng,
     ) -> u64 {
@@ -239,12 +240,12 @@
             let wait_us = EMPTY_REREAD_US << (self.empty_reads - 1).min(8);
             return jitter(wait_us.min(options.poll_us), rng);
         }
-        let factor = if heard_peers { READ_INTERVAL_FACTOR } else { 1 };
+        let factor = if has_recent_gossip { READ_INTERVAL_FACTOR } else { 1 };
         jitter(options.poll_us * factor, rng)
     }
 
-    /// Records a failed read. Rows that stayed unchanged no longer count as dead, because their
-    /// owners may have been unable to write.
+    /// Records a failed read. The times for which rows stayed unchanged start over, because their
+    /// owners may have been unable to write as well.
     pub(super) fn read_failed(
         &mut self,
         now_us: u64,
@@ -257,8 +258,8 @@
         self.next_read_us = now_us + wait_us;
     }
 
-    /// Records the rows of a service and returns those that have not changed for `row_dead_us`, so
-    /// that their owners must be dead.
+    /// Records the rows of a service and returns those that have not changed for `row_dead_us`,
+    /// whose owners count as dead.
     pub(super) fn record_rows<'a>(
         &mut self,
         now_us: u64,
@@ -270,9 +271,9 @@
         let mut after = BTreeMap::new();
         let mut dead = Vec::new();
         for row in rows {
-            let same =
+            let unchanged_row =
                 before.get(&row.member.node).filter(|previous| previous.version == row.version);
-            let since_us = same.map_or(now_us, |previous| previous.since_us);
+            let since_us = unchanged_row.map_or(now_us, |previous| previous.since_us);
             after.insert(row.member.node, UnchangedRow { version: row.version, since_us });
             if now_us.saturating_sub(since_us) >= options.row_dead_us {
                 dead.push(row);
@@ -288,7 +289,7 @@
         self.unchanged.clear();
     }
 
-    /// When the next write of the own row is due.
+    /// When the next write of the node's own row is due.
     pub(super) fn next_write_us(&self) -> u64 {
         self.next_write_us.max(self.writing.unwrap_or(0))
     }
--- a/src/membership/state.rs
+++ b/src/membership/state.rs
@@ -14,11 +14,11 @@
 use super::options::MembershipOptions;
 use super::rows::{RowSchedule, jitter};
 use super::view::View;
-use super::wire::{Body, ConfigurationMark, Record};
+use super::wire::{Body, Record, ReportedConfiguration};
 
-/// How many peers are notified of an urgent change immediately.
+/// How many peers are notified immediately of an urgent change.
 const URGENT_PEERS: usize = 6;
-/// In how many further gossip rounds a new configuration version is announced to more peers.
+/// The number of gossip rounds in which a new configuration version is announced to more peers.
 const HELLO_ROUNDS: u32 = 4;
 
 /// A node's description of itself at start-up.
@@ -43,25 +43,25 @@
 pub struct Membership {
     pub(super) own: Member,
     /// How often this incarnation moved its start time past that of another with its name.
-    pub(super) claims: u32,
+    pub(super) start_time_moves: u32,
     pub(super) options: MembershipOptions,
     pub(super) interests: Interests,
     pub(super) view: View,
     pub(super) row_schedule: RowSchedule,
-    pub(super) configuration: ConfigurationMark,
+    pub(super) configuration: ReportedConfiguration,
     next_gossip_us: u64,
     next_beat_us: u64,
     last_event_us: u64,
     /// When the last gossip message of a peer arrived.
-    pub(super) last_peer_us: Option<u64>,
+    pub(super) last_gossip_us: Option<u64>,
     pub(super) superseded: bool,
-    /// In how many more gossip rounds the new configuration version is announced.
+    /// The remaining gossip rounds in which the new configuration version is announced.
     pub(super) hello_rounds_left: u32,
     pub(super) contacts: Contacts,
 }
 
 impl Membership {
-    /// The membership of a node that starts now and knows no other nodes.
+    /// Creates the membership of a starting node, which knows no other nodes.
     pub fn new(
         now_us: u64,
         own: OwnMember,
@@ -85,15 +85,15 @@
         };
         Self {
             own,
-            claims: 0,
+            start_time_moves: 0,
             interests,
             view: View::default(),
             row_schedule,
-            configuration: ConfigurationMark::default(),
+            configuration: ReportedConfiguration::default(),
             next_gossip_us: now_us + rng.random_range(0..=options.gossip_us),
             next_beat_us: now_us + jitter(options.beat_us, rng),
             last_event_us: now_us,
-            last_peer_us: None,
+            last_gossip_us: None,
             superseded: false,
             hello_rounds_left: 0,
             contacts: Contacts::default(),
@@ -130,11 +130,13 @@
                 self.row_schedule.write_failed(now_us, &self.options, rng);
             }
             MembershipEvent::Gossip { bytes } => self.handle_gossip(now_us, bytes, out),
-            MembershipEvent::Heard { node } => self.view.mark_alive(node, now_us),
-            MembershipEvent::Configuration(mark) => self.update_configuration(mark, rng, out),
+            MembershipEvent::MessageReceived { node } => self.view.mark_alive(node, now_us),
+            MembershipEvent::Configuration(reported) => {
+                self.update_configuration(reported, rng, out)
+            }
             MembershipEvent::Leave => self.leave(now_us, rng, out),
             MembershipEvent::Tick => {}
-            MembershipEvent::WantService(service) => {
+            MembershipEvent::TrackService(service) => {
                 if self.interests.add(service) {
                     self.row_schedule.add_service(now_us, service, &self.options, rng);
                 }
@@ -224,13 +226,13 @@
 
     fn update_configuration(
         &mut self,
-        mark: ConfigurationMark,
+        reported: ReportedConfiguration,
         rng: &mut SmallRng,
         out: &mut Vec<MembershipAction>,
     ) {
-        let newer = mark.version > self.configuration.version;
-        self.configuration = mark;
-        if newer {
+        let is_newer = reported.version > self.configuration.version;
+        self.configuration = reported;
+        if is_newer {
             self.hello_rounds_left = HELLO_ROUNDS;
             self.send_urgent(Body::Hello, URGENT_PEERS, rng, out);
         }
@@ -248,8 +250,8 @@
             let interval_us = self.options.gossip_interval_us(self.view.len());
             self.next_gossip_us = now_us + jitter(interval_us, rng);
         }
-        // The row belongs to the later incarnation now. Rows are still read, because the calls in
-        // flight need members.
+        // A superseded incarnation must not write the row, which belongs to the later one. It still
+        // reads rows, because the calls in flight need members.
         if !self.superseded && self.row_schedule.start_due_write(now_us, &self.options) {
             let expected = self.row_schedule.own_version;
             out.push(MembershipAction::WriteRow { member: self.own.clone(), expected });
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -8,8 +8,8 @@
 use super::member::{Member, MemberRow, MemberState};
 use super::state::Membership;
 
-/// How often a node moves its start time past that of other incarnations with its name.
-const CLAIMS_MAX: u32 = 8;
+/// How often a node may move its start time past that of other incarnations with its name.
+const START_TIME_MOVES_MAX: u32 = 8;
 
 impl Membership {
     pub(super) fn handle_rows(
@@ -34,22 +34,22 @@
             self.view.apply_record(now_us, &row.member, now_us, &self.options, out);
         }
         self.delete_dead_row(now_us, service, rows, rng, out);
-        let heard_peers = self.heard_peers_recently(now_us);
+        let has_recent_gossip = self.has_recent_gossip(now_us);
         let own = self.interests.own();
         let has_empty_service =
             self.interests.tags().iter().any(|tag| *tag != own && self.view.size(*tag) == 0);
         self.row_schedule.read_succeeded(
             now_us,
             service,
-            heard_peers,
+            has_recent_gossip,
             has_empty_service,
             &self.options,
             rng,
         );
     }
 
-    /// Deletes one row of a dead member. Many nodes see the same rows, so each of them deletes only
-    /// with a chance of one in the size of its service.
+    /// Deletes one row of a dead member. Many nodes read the same rows, so each of them deletes one
+    /// only with a probability of 1 / (size of its service).
     fn delete_dead_row(
         &mut self,
         now_us: u64,
@@ -58,21 +58,23 @@
         rng: &mut SmallRng,
         out: &mut Vec<MembershipAction>,
     ) {
-        let sharers = u32::try_from(self.view.size(self.interests.own()) + 1).unwrap_or(u32::MAX);
+        let service_size =
+            u32::try_from(self.view.size(self.interests.own()) + 1).unwrap_or(u32::MAX);
         let mut dead = self.row_schedule.record_rows(now_us, service, rows, &self.options);
         dead.retain(|row| self.view.get(row.member.node).is_none());
         dead.retain(|row| !row.member.is_same_node(&self.own));
         let Some(row) = dead.choose(rng) else { return };
-        if rng.random_ratio(1, sharers) {
+        if rng.random_ratio(1, service_size) {
             let key = row.member.row_key();
             out.push(MembershipAction::DeleteRow { key, version: row.version });
         }
     }
 
-    /// Whether gossip arrived recently, so that the table service is only the secondary source.
-    fn heard_peers_recently(&self, now_us: u64) -> bool {
+    /// Whether gossip arrived recently. The table service is then the secondary source and is read
+    /// less often.
+    fn has_recent_gossip(&self, now_us: u64) -> bool {
         let limit_us = 4 * self.options.beat_us;
-        self.last_peer_us.is_some_and(|at_us| now_us.saturating_sub(at_us) < limit_us)
+        self.last_gossip_us.is_some_and(|at_us| now_us.saturating_sub(at_us) < limit_us)
     }
 
     pub(super) fn handle_conflict(
@@ -90,7 +92,7 @@
         self.row_schedule.write_conflicted(now_us, version, rng);
     }
 
-    /// Decides which of two incarnations with one name wins.
+    /// Decides which of two incarnations keeps the name that they share.
     ///
     /// For an incarnation that has not written its row yet, the other one is its predecessor
     /// whatever the clocks say, so it moves its own start time past the predecessor's. An
@@ -104,8 +106,8 @@
         if other.node == self.own.node || !other.supersedes(&self.own) || self.superseded {
             return;
         }
-        if !self.row_schedule.written_once && self.claims < CLAIMS_MAX {
-            self.claims += 1;
+        if !self.row_schedule.written_once && self.start_time_moves < START_TIME_MOVES_MAX {
+            self.start_time_moves += 1;
             self.own.started_unix_ms = other.started_unix_ms + 1;
             self.own.revision += 1;
             self.own.beat += 1;
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -21,7 +21,7 @@
     pub(super) alive_us: u64,
 }
 
-/// What is kept of a removed member.
+/// The data that is kept of a removed member.
 #[derive(Debug)]
 struct Tombstone {
     /// Its last heartbeat counter; only a higher one brings the member back.
@@ -72,8 +72,8 @@
             .is_none_or(|tombstone| !tombstone.has_left && beat > tombstone.beat)
     }
 
-    /// Applies a heartbeat of a known member; false if the node is unknown or the heartbeat's
-    /// revision is newer than that of the record.
+    /// Applies a heartbeat of a known member; returns false if the node is unknown or the
+    /// heartbeat's revision is newer than that of the record.
     pub(super) fn apply_heartbeat(
         &mut self,
         node: NodeId,
@@ -118,7 +118,8 @@
         let earlier = self.entries.values().find(|known| known.member.is_same_node(member));
         let earlier = earlier.map(|known| (known.member.node, member.supersedes(&known.member)));
         if let Some((_, false)) = earlier {
-            // No tombstone: a new incarnation whose clock is behind corrects its start time.
+            // No tombstone is added: a new incarnation whose clock is behind corrects its start
+            // time and is then accepted.
             return;
         }
         if let Some((node, true)) = earlier {
@@ -144,9 +145,9 @@
             return;
         }
         let beat = entry.member.beat;
-        let left = entry.member.state == MemberState::Leaving;
+        let was_leaving = entry.member.state == MemberState::Leaving;
         entry.member = Member { beat, ..member.clone() };
-        if left {
+        if was_leaving {
             entry.member.state = MemberState::Leaving;
         }
         out.push(MembershipAction::Changed(entry.member.clone()));
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -13,9 +13,9 @@
 /// Maximum size of a gossip message that is decoded, in bytes.
 const MESSAGE_MAX_BYTES: usize = 64 * 1024;
 
-/// A node's configuration version.
+/// The configuration version that a node reports in its gossip messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ConfigurationMark {
+pub struct ReportedConfiguration {
     /// The version in force; 0 for the settings the node started with.
     pub version: u64,
     /// Whether the node knows, from the table service or from a confirmed peer, that nothing newer
@@ -31,7 +31,7 @@
     /// The peer address of the sender.
     pub(super) address: SocketAddr,
     /// The sender's configuration version.
-    pub(super) configuration: ConfigurationMark,
+    pub(super) configuration: ReportedConfiguration,
 }
 
 /// A member's heartbeat counter and its age.
@@ -73,16 +73,16 @@
 /// The kinds of gossip messages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Body {
-    /// What the sender knows; the reply holds what the sender lacks.
+    /// The heartbeats that the sender knows. The reply holds newer ones and missing records.
     Digest {
         /// The sender's own heartbeat.
         own: Heartbeat,
         /// The sender's own service.
         own_service: ServiceTag,
-        /// What the sender knows of the services that it asks about.
+        /// The heartbeats of other members, for each service that the digest covers.
         groups: Vec<Group>,
     },
-    /// What the sender of a digest lacks, and what the replying node requests from it.
+    /// The reply to a digest: what the receiver lacks, and requests for what the sender lacks.
     Reply {
         /// Newer heartbeats of members that the receiver knows.
         #[serde(rename = "signs")]
--- a/src/node/cluster.rs
+++ b/src/node/cluster.rs
@@ -15,8 +15,8 @@
 use crate::duty::store::StoreOperation;
 use crate::event::LogEvent;
 use crate::membership::{
-    ConfigurationMark, Member, MemberState, Membership, MembershipAction, MembershipEvent,
-    MembershipOptions, OwnMember, row_prefix,
+    Member, MemberState, Membership, MembershipAction, MembershipEvent, MembershipOptions,
+    OwnMember, ReportedConfiguration, row_prefix,
 };
 use crate::routing::Peer;
 
@@ -33,8 +33,8 @@
     configuration: Configuration,
     /// Random numbers for membership and configuration, separate from those for calls.
     rng: SmallRng,
-    /// The configuration mark last passed to membership.
-    mark: ConfigurationMark,
+    /// The configuration version last passed to membership.
+    reported: ReportedConfiguration,
 }
 
 impl Cluster {
@@ -68,7 +68,7 @@
             .site_nodes(site_nodes)
             .build();
         let configuration = Configuration::new(now_us, options, build, &mut rng);
-        Self { membership, configuration, rng, mark: ConfigurationMark::default() }
+        Self { membership, configuration, rng, reported: ReportedConfiguration::default() }
     }
 
     /// Whether the node's configuration is current enough to serve.
@@ -120,7 +120,7 @@
             return;
         }
         self.members_requested_us.insert(service.to_owned(), now_us);
-        self.notify_membership(now_us, MembershipEvent::WantService(service), out);
+        self.notify_membership(now_us, MembershipEvent::TrackService(service), out);
     }
 
     /// Requests the members of the services that the local target is configured to call, before it
@@ -181,7 +181,7 @@
         out: &mut Vec<NodeAction>,
     ) {
         self.router.heartbeat(now_us, from, load);
-        self.notify_membership(now_us, MembershipEvent::Heard { node: from }, out);
+        self.notify_membership(now_us, MembershipEvent::MessageReceived { node: from }, out);
     }
 
     /// Handles a membership message.
@@ -196,7 +196,7 @@
         bytes: &[u8],
         out: &mut Vec<NodeAction>,
     ) {
-        self.notify_configuration(now_us, ConfigurationEvent::Peer(bytes), out);
+        self.notify_configuration(now_us, ConfigurationEvent::PeerMessage(bytes), out);
     }
 
     /// Handles a configuration submitted by an operator.
@@ -232,7 +232,7 @@
         for action in actions {
             self.apply_configuration_action(now_us, action, out);
         }
-        self.share_configuration_mark(now_us, out);
+        self.report_configuration(now_us, out);
     }
 
     /// Applies an action of membership.
@@ -250,9 +250,10 @@
             MembershipAction::SendGossip { to, bytes } => {
                 out.push(NodeAction::Send { to, message: Message::Gossip(bytes.into()) });
             }
-            MembershipAction::PeerConfiguration { peer, mark } => {
-                let event = PeerVersion { peer, version: mark.version, confirmed: mark.confirmed };
-                self.notify_configuration(now_us, ConfigurationEvent::PeerHas(event), out);
+            MembershipAction::PeerConfiguration { peer, reported } => {
+                let event =
+                    PeerVersion { peer, version: reported.version, confirmed: reported.confirmed };
+                self.notify_configuration(now_us, ConfigurationEvent::PeerVersion(event), out);
             }
             MembershipAction::Superseded { .. } => {
                 self.start_leaving(now_us, LeaveRequester::Successor, out);
@@ -308,7 +309,7 @@
         out: &mut Vec<NodeAction>,
     ) {
         match action {
-            ConfigurationAction::SendPeer { to, bytes } => {
+            ConfigurationAction::SendMessage { to, bytes } => {
                 out.push(NodeAction::Send { to, message: Message::Configuration(bytes.into()) });
             }
             ConfigurationAction::InForce { version, rules } => {
@@ -317,11 +318,11 @@
             ConfigurationAction::Submitted { submission, outcome } => {
                 out.push(NodeAction::Submitted { submission, outcome });
             }
-            ConfigurationAction::ReadTable => {
+            ConfigurationAction::ReadRow => {
                 let operation = StoreOperation::ReadRow { key: ROW_KEY.to_owned() };
                 self.send_store_request(StoreRequestPurpose::ConfigurationRead, operation, out);
             }
-            ConfigurationAction::WriteTable { expected, accepted } => {
+            ConfigurationAction::WriteRow { expected, accepted } => {
                 self.write_configuration(expected, &accepted, out);
             }
             // Readiness is checked where it is needed, by `is_ready`.
@@ -347,17 +348,17 @@
         self.log(LogEvent::ConfigInForce { config_version: version, learned_from }, out);
     }
 
-    /// Passes a changed configuration mark to membership, which spreads it to other nodes.
-    fn share_configuration_mark(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
-        let mark = ConfigurationMark {
+    /// Passes a changed configuration version to membership, which reports it to other nodes.
+    fn report_configuration(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
+        let reported = ReportedConfiguration {
             version: self.cluster.configuration.version(),
             confirmed: self.cluster.configuration.is_confirmed(),
         };
-        if mark == self.cluster.mark {
+        if reported == self.cluster.reported {
             return;
         }
-        self.cluster.mark = mark;
-        self.notify_membership(now_us, MembershipEvent::Configuration(mark), out);
+        self.cluster.reported = reported;
+        self.notify_membership(now_us, MembershipEvent::Configuration(reported), out);
     }
 }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -262,9 +262,9 @@
                     self.on_inbound_deadline(now_us, attempt, out);
                 }
             }
-            // A local answer produced by this timer must be processed before later timers. Otherwise
-            // a request refused in the queue would reach its sender's deadline first and end as "may
-            // have run".
+            // A local answer produced by this timer must be processed before later timers.
+            // Otherwise a request refused in the queue would reach its sender's deadline first and
+            // end as "may have run".
             self.process_local_frames(now_us, out);
         }
         let mut decisions = Vec::new();
--- a/src/node/platform.rs
+++ b/src/node/platform.rs
@@ -72,12 +72,12 @@
                 self.on_members_read(now_us, &service, event.outcome, out);
             }
             StoreRequestPurpose::ConfigurationRead => {
-                let read = ConfigurationEvent::TableRead(row_read_result(event.outcome));
+                let read = ConfigurationEvent::RowRead(row_read_result(event.outcome));
                 self.notify_configuration(now_us, read, out);
             }
             StoreRequestPurpose::ConfigurationWrite { submission } => {
                 let write = row_write_result(event.outcome);
-                let written = ConfigurationEvent::TableWritten { submission, write };
+                let written = ConfigurationEvent::RowWritten { submission, write };
                 self.notify_configuration(now_us, written, out);
             }
             StoreRequestPurpose::Claim(hop) => self.on_claim(now_us, hop, event.outcome, out),
--- a/src/node/receiving.rs
+++ b/src/node/receiving.rs
@@ -308,8 +308,8 @@
         self.settle(now_us, attempt, Verdict::MayHaveRun(doubt), out);
     }
 
-    /// Handles a fence: returns the verdict of an attempt. If the attempt has not arrived yet, it is
-    /// refused permanently.
+    /// Handles a fence: returns the verdict of an attempt. If the attempt has not arrived yet, it
+    /// is refused permanently.
     fn on_fence(
         &mut self,
         now_us: u64,
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -16,8 +16,8 @@
     PeerVersion, RowRead, RowWrite, Submit, SubmitOutcome, TableRow,
 };
 use aspenspring::membership::{
-    ConfigurationMark, Member, MemberRow, MemberState, Membership, MembershipAction,
-    MembershipEvent, MembershipOptions, OwnMember,
+    Member, MemberRow, MemberState, Membership, MembershipAction, MembershipEvent,
+    MembershipOptions, OwnMember, ReportedConfiguration,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -207,7 +207,7 @@
             wake_us: u64::MAX,
         });
         for call in calls {
-            self.handle_membership(index, MembershipEvent::WantService(call));
+            self.handle_membership(index, MembershipEvent::TrackService(call));
         }
         self.handle_membership(
             index,
@@ -247,11 +247,11 @@
             self.run_configuration_action(index, action);
         }
         let node = &self.nodes[index];
-        let mark = ConfigurationMark {
+        let reported = ReportedConfiguration {
             version: node.configuration.version(),
             confirmed: node.configuration.is_confirmed(),
         };
-        self.handle_membership(index, MembershipEvent::Configuration(mark));
+        self.handle_membership(index, MembershipEvent::Configuration(reported));
     }
 
     pub fn submit(&mut self, index: usize, submission: u64, based_on: u64, document: &str) {
@@ -324,7 +324,7 @@
             }
             Delivery::Configuration(bytes) => {
                 self.nodes[index].received_bytes += bytes.len() as u64;
-                self.handle_configuration(index, ConfigurationEvent::Peer(&bytes));
+                self.handle_configuration(index, ConfigurationEvent::PeerMessage(&bytes));
             }
             Delivery::Rows(service, Some(rows)) => {
                 self.handle_membership(
@@ -347,12 +347,12 @@
                 self.handle_membership(index, MembershipEvent::WriteFailed);
             }
             Delivery::Read(read) => {
-                self.handle_configuration(index, ConfigurationEvent::TableRead(read));
+                self.handle_configuration(index, ConfigurationEvent::RowRead(read));
             }
             Delivery::Write(submission, write) => {
                 self.handle_configuration(
                     index,
-                    ConfigurationEvent::TableWritten { submission, write },
+                    ConfigurationEvent::RowWritten { submission, write },
                 );
             }
         }
@@ -436,10 +436,10 @@
             MembershipAction::Gone(node) => {
                 self.nodes[index].member_states.remove(&node);
             }
-            MembershipAction::PeerConfiguration { peer, mark } => {
-                let ConfigurationMark { version, confirmed } = mark;
-                let heard = PeerVersion { peer, version, confirmed };
-                self.handle_configuration(index, ConfigurationEvent::PeerHas(heard));
+            MembershipAction::PeerConfiguration { peer, reported } => {
+                let ReportedConfiguration { version, confirmed } = reported;
+                let peer_version = PeerVersion { peer, version, confirmed };
+                self.handle_configuration(index, ConfigurationEvent::PeerVersion(peer_version));
             }
             MembershipAction::Superseded { .. } => self.nodes[index].superseded = true,
         }
@@ -465,7 +465,7 @@
 
     fn run_configuration_action(&mut self, index: usize, action: ConfigurationAction) {
         match action {
-            ConfigurationAction::ReadTable => {
+            ConfigurationAction::ReadRow => {
                 self.reads += 1;
                 self.read_at_us.push(self.now_us);
                 let read = match (self.table, self.row.clone()) {
@@ -475,11 +475,11 @@
                 };
                 self.reply(index, Delivery::Read(read));
             }
-            ConfigurationAction::WriteTable { expected, accepted } => {
+            ConfigurationAction::WriteRow { expected, accepted } => {
                 let write = self.write_configuration(&accepted, expected);
                 self.reply(index, Delivery::Write(accepted.entry.submission, write));
             }
-            ConfigurationAction::SendPeer { to, bytes } => {
+            ConfigurationAction::SendMessage { to, bytes } => {
                 let length = bytes.len();
                 self.send(index, to, Delivery::Configuration(bytes), length);
             }
