--- a/src/call/frame.rs
+++ b/src/call/frame.rs
@@ -88,7 +88,7 @@
     pub running: u32,
     /// Calls in the queue of the receiving node.
     pub queued: u32,
-    /// The receiving node's limit on calls running at once.
+    /// The receiving node's limit on calls running at the target concurrently.
     pub limit: u32,
     /// Smoothed time that the target takes for a call, in microseconds.
     pub latency_us: u32,
@@ -127,12 +127,12 @@
         /// The attempt.
         attempt: AttemptId,
         /// The node that it was sent to. A node that was restarted at the same address has another
-        /// id and knows nothing of the attempt.
+        /// id and no record of the attempt.
         asked: NodeId,
         /// How long the sender waits for the verdict, in microseconds.
         remaining_us: u64,
     },
-    /// Asks the entry node of a root request for permission to retry.
+    /// Requests permission to retry from the entry node of a root request.
     AskRetry {
         /// The root request whose retry allowance is used.
         root: RootId,
--- a/src/call/id.rs
+++ b/src/call/id.rs
@@ -7,7 +7,7 @@
 /// Identifies one incarnation of a node, from the start of its process to the end.
 ///
 /// The id is drawn at random when the process starts, so a restarted node is a different node and
-/// is never mistaken for the previous incarnation, whose commitments it does not know.
+/// is never mistaken for the previous incarnation, whose attempts and keys it has no record of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId(pub u64);
 
--- a/src/call/key.rs
+++ b/src/call/key.rs
@@ -31,16 +31,16 @@
 pub enum KeyLifetime {
     /// The key was issued to a caller, who may use it for a long time.
     Caller,
-    /// The key was minted for a request without a key. The caller never learns it, so it is not
+    /// The key was minted for a request without a key. The caller never receives it, so it is not
     /// used after the request's deadline.
     OneRequest,
 }
 
 /// A key that permanently belongs to exactly one incarnation of one node.
 ///
-/// Only the owner may run a request with this key, and it keeps a record of what it ran in memory.
-/// No other node runs the key when the owner is gone, so the guarantee of at most one run needs no
-/// write to the platform.
+/// Only the owner may run a request with this key, and it records its runs in memory. No other node
+/// runs the key when the owner is gone, so the guarantee of at most one run needs no write to the
+/// platform.
 ///
 /// Its text form is `as1.` followed by the owner, the time and the nonce in base64url.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -75,8 +75,8 @@
     /// The key that replaces this one after its owner delegated it to `successor`.
     ///
     /// The result depends only on this key and `successor`, so every node that learns of the
-    /// delegation derives the same key. For `successor` it is one of its own keys. The minting time
-    /// and the lifetime are kept.
+    /// delegation derives the same key. Its owner is `successor`; the minting time and the lifetime
+    /// are kept.
     pub fn delegated_to(self, successor: NodeId) -> Key {
         let hash = Sha256::new()
             .chain_update(DELEGATION_HASH_DOMAIN)
--- a/src/call/verdict.rs
+++ b/src/call/verdict.rs
@@ -79,11 +79,11 @@
 /// Why it is unknown whether an attempt ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Doubt {
-    /// No answer came before the deadline.
+    /// No answer arrived before the deadline.
     Timeout,
     /// The connection to the receiving node was lost, and it could not be queried afterwards.
     ConnectionLost,
-    /// The target broke the exchange off before its answer was complete.
+    /// The target broke off the exchange before its answer was complete.
     TargetBroke,
     /// The target's answer exceeded the size limit.
     AnswerTooLong,
@@ -97,7 +97,8 @@
     Cancelled,
     /// The attempt was settled earlier, and the node has since dropped the answer.
     AnswerForgotten,
-    /// The queried node does not own the idempotency key and does not know what the owner did.
+    /// The queried node does not own the idempotency key and does not know whether the owner ran
+    /// it.
     KeyElsewhere,
 }
 
