--- a/src/event.rs
+++ b/src/event.rs
@@ -1,4 +1,4 @@
-//! Numbered log events: the enum, how events are written, and the rate limit for repeated events.
+//! Numbered log events: their catalogue, their output and the rate limit for repeated events.
 //!
 //! The number of an event is never reused; `docs/EVENTS.md` lists all events for operators.
 
@@ -32,12 +32,12 @@
 /// Declares the enum together with its numbers, severities and fields, which keeps them consistent.
 macro_rules! log_events {
     ($($(#[$doc:meta])* $number:literal $severity:ident $name:ident {
-        $($(#[$field_doc:meta])* $field:ident: $kind:ty,)*
+        $($(#[$field_doc:meta])* $field:ident: $field_type:ty,)*
     })*) => {
-        /// An event that an operator may want to know of.
+        /// A log event for operators.
         #[derive(Clone, Debug, PartialEq)]
         pub enum LogEvent {
-            $($(#[$doc])* $name { $($(#[$field_doc])* $field: $kind,)* },)*
+            $($(#[$doc])* $name { $($(#[$field_doc])* $field: $field_type,)* },)*
         }
 
         /// All kinds of events, in the order of the enum.
@@ -80,7 +80,7 @@
 log_events! {
     /// The process is up and its listeners are bound.
     100 Info NodeStarted {
-        /// The id that the node drew at this start.
+        /// The random id of this process.
         node: NodeId,
         /// The node's name, which stays the same across restarts.
         node_name: String,
@@ -105,7 +105,7 @@
     }
     /// The node began to drain: it accepts no new requests.
     110 Info LeavingStarted {
-        /// What started the drain: `signal`, `operator` or `target`.
+        /// What started the drain: `signal`, `operator`, `target` or `successor`.
         asked_by: &'static str,
         /// Calls running or queued at that time.
         in_flight: u64,
@@ -121,7 +121,7 @@
     120 Critical DutyPanicked {
         /// The thread.
         duty: &'static str,
-        /// What the node does about it: `restart` or `exit`.
+        /// The node's reaction: `restart` or `exit`.
         consequence: &'static str,
     }
     /// A ring buffer between two threads was full, and an entry was rejected.
@@ -196,7 +196,7 @@
         service: String,
         /// Its address for other nodes.
         address: SocketAddr,
-        /// How it was discovered: `table`, `gossip` or `seed`.
+        /// How it was discovered: `table or peer`, which are not distinguished.
         learned_from: &'static str,
     }
     /// A node is considered gone.
@@ -208,8 +208,8 @@
         /// Why: `silent`, `left`, `replaced` or `expired`.
         reason: &'static str,
     }
-    /// The process was paused for longer than its peers' timeout; the node accepts no requests until
-    /// its state is up to date.
+    /// The process was paused for longer than its peers' timeout; the node accepts no requests
+    /// until its state is up to date.
     312 Warning NodeWasPaused {
         /// How long, in milliseconds.
         paused_ms: u64,
@@ -287,30 +287,31 @@
         /// How long it took, in milliseconds.
         took_ms: u64,
     }
-    /// Whether an attempt ran could not be determined; its caller was told that it may have run.
+    /// It could not be determined whether an attempt ran; its caller received "may have run".
     611 Error FenceUnsettled {
         /// The attempt.
         attempt: AttemptId,
         /// The node that could not be queried.
         peer: NodeId,
     }
-    /// An idempotency key was permanently handed to another node.
+    /// An idempotency key was permanently delegated to another node.
     620 Info KeyDelegated {
         /// The key.
         key: Key,
         /// The node that may run it now.
         to: NodeId,
     }
-    /// A caller-supplied idempotency key could not be claimed because the table service is unavailable.
+    /// A caller-supplied idempotency key could not be claimed because the table service is
+    /// unavailable.
     621 Error KeyUnclaimed {
         /// The service that was called.
         service: String,
     }
-    /// A configuration took effect.
+    /// A configuration came into force.
     700 Info ConfigInForce {
         /// Its version.
         config_version: u64,
-        /// Its source: `start`, `table`, `gossip` or `operator`.
+        /// Its source: `table`, `peer`, or `table or peer` where they are not distinguished.
         learned_from: &'static str,
     }
     /// An operator's configuration was accepted.
@@ -320,7 +321,7 @@
     }
     /// An operator's configuration conflicted with a concurrent one, or was invalid.
     702 Warning ConfigRefused {
-        /// The version it was meant to replace.
+        /// The version that it was to replace.
         expected_version: u64,
         /// `conflict` or `invalid`.
         reason: &'static str,
@@ -339,7 +340,8 @@
         /// Where the request came from.
         remote: String,
     }
-    /// The environment variable of the operators' key is not set; all operator requests are refused.
+    /// The environment variable of the operators' key is not set; all operator requests are
+    /// refused.
     801 Warning OperatorKeyUnset {
         /// The name of the variable.
         variable: String,
@@ -373,7 +375,7 @@
     1001 Info SettingsReread {
         /// `unchanged`, `from_next_start` or `refused`.
         outcome: &'static str,
-    /// The errors in the settings; empty if there are none.
+        /// The errors in the settings; empty if there are none.
         detail: String,
     }
     /// Invalid input from another process was rejected.
@@ -447,14 +449,14 @@
     }
     /// The node's role in reading configurations from the store has changed.
     1022 Info FollowerChanged {
-        /// `follows` the store, `substitutes` for others that do not reach the store, or `hears`
-        /// configurations from peers.
+        /// `follows` (reads the store), `substitutes` (reads it for nodes that do not reach it) or
+        /// `hears` (receives configurations from peers).
         role: &'static str,
         /// Whether no node that precedes it in its failure domain reaches the store.
         is_first: bool,
     }
-    /// Requests of a route began to be shed because a downstream service is overloaded, or no longer
-    /// are.
+    /// Requests of a route began to be shed because a downstream service is overloaded, or no
+    /// longer are.
     1030 Info AdmissionChanged {
         /// The route.
         root: String,
@@ -488,8 +490,8 @@
         offered: String,
         /// How many times it reached a target.
         arrivals: u32,
-        /// Time between the last sign of life from the node that handled it last and the end of the
-        /// request, in milliseconds.
+        /// Time from the last data received from the node that handled the request last to the end
+        /// of the request, in milliseconds.
         heard_ms: u64,
         /// The probability of admission of its route at its end, in percent.
         admitted_percent: u32,
@@ -498,13 +500,14 @@
         limited_by: String,
         /// The team whose API key admitted it; empty if no key did.
         team: String,
-        /// What was known of the team's quota, if the request exceeded it.
+        /// The state of the team's quota as far as known, if the request exceeded it.
         quota: String,
         /// How many retries the node could still have sent to the service, in hundredths.
         repeats_percent: u32,
         /// The configuration version by which it was routed.
         config_version: u64,
-        /// If the request is quarantined, the fingerprint that all its attempts share; otherwise empty.
+        /// If the request is quarantined, the fingerprint that all its attempts share; otherwise
+        /// empty.
         fingerprint: String,
         /// How long it took, in milliseconds.
         took_ms: u64,
@@ -525,10 +528,11 @@
         reason: &'static str,
         /// The status of the target's answer; 0 if there is none.
         status: u32,
-        /// What was observed if the target broke the exchange off or could not be reached; otherwise
-        /// empty.
+        /// What was observed if the target broke off the exchange or could not be reached;
+        /// otherwise empty.
         detail: String,
-        /// If the target broke the exchange off, the fingerprint that all attempts of the request share.
+        /// If the target broke off the exchange, the fingerprint that all attempts of the request
+        /// share.
         fingerprint: String,
         /// Time in the queue and on the target, in milliseconds.
         took_ms: u64,
@@ -550,7 +554,8 @@
         noticed: &'static str,
         /// Whether the request was completed.
         answered: bool,
-        /// Time from reading the request's head to the notice, in milliseconds.
+        /// Time from reading the request's head to noticing that the caller had left, in
+        /// milliseconds.
         took_ms: u64,
     }
 }
--- a/src/event/field.rs
+++ b/src/event/field.rs
@@ -4,7 +4,7 @@
 
 use crate::call::{ArmId, AttemptId, ClassRank, Key, Level, NodeId, RootId};
 
-/// The form of a field in a log line: numbers and booleans as such, everything else as text.
+/// Converts a field for a log line: numbers and booleans stay as they are, all else becomes text.
 pub trait ToLog {
     /// The type that is passed to `slog`.
     type Logged: slog::Value;
@@ -14,8 +14,8 @@
 }
 
 macro_rules! log_as {
-    ($($kind:ty => $logged:ty, |$value:ident| $convert:expr;)*) => {
-        $(impl ToLog for $kind {
+    ($($field_type:ty => $logged:ty, |$value:ident| $convert:expr;)*) => {
+        $(impl ToLog for $field_type {
             type Logged = $logged;
 
             fn to_log(&self) -> $logged {
