--- a/src/explain/cause.rs
+++ b/src/explain/cause.rs
@@ -96,7 +96,7 @@
         node: String,
         /// The team.
         team: String,
-        /// What the entry node knew of the quota.
+        /// The state of the quota as known to the entry node.
         quota: String,
         /// The configuration version that the entry node applied.
         config_version: u64,
@@ -111,7 +111,7 @@
         /// That node.
         node: String,
     },
-    /// So little of the deadline was left that a nested call arrived too late to run.
+    /// A nested call arrived with too little of the deadline left to run.
     TimeUsedUp {
         /// The node of the target that the call was sent to.
         node: String,
@@ -151,7 +151,7 @@
         /// `target-failed`, `target-broke`, `target-declined`, or `call-failed` for a failed nested
         /// call that no log line mentions.
         reason: String,
-        /// What the node observed; empty if that is only the status.
+        /// What the node observed; empty if it observed only the status.
         detail: String,
     },
 }
@@ -261,7 +261,7 @@
     }
 }
 
-/// The cause, and the node events that may have contributed to it.
+/// Returns the cause of the outcome, and the node events that may have contributed to it.
 pub fn find_cause(steps: &[Step], lines: &[Line]) -> (Cause, Vec<Line>) {
     let Some(deepest) = deepest_failed_step(steps) else {
         let entry = steps.iter().find(|step| step.role == Role::Entry);
@@ -277,28 +277,28 @@
     (cause_of_step(deepest, last_node, steps, &context), context)
 }
 
-/// The failed step that made the others fail. Follows the calls down from the caller's request; at
-/// each depth the failed call that ended last is the one that failed its parent.
+/// Finds the failed step that made the others fail. Follows the calls down from the caller's
+/// request; at each depth, the failed call that ended last made its parent fail.
 fn deepest_failed_step(steps: &[Step]) -> Option<&Step> {
-    let mut found = steps.iter().find(|step| step.depth == 0 && step.has_failed())?;
-    // Failures of nested calls are a consequence: they were withdrawn.
-    if found.reason == CALLER_LEFT {
-        return Some(found);
+    let mut deepest = steps.iter().find(|step| step.depth == 0 && step.has_failed())?;
+    // Failures of its nested calls are a consequence, because they were withdrawn.
+    if deepest.reason == CALLER_LEFT {
+        return Some(deepest);
     }
     loop {
-        let is_caused_by_found = |step: &&Step| {
+        let caused_deepest = |step: &&Step| {
             step.has_failed()
-                && step.attempt.strip_prefix(found.attempt.as_str()).is_some_and(|rest| {
+                && step.attempt.strip_prefix(deepest.attempt.as_str()).is_some_and(|rest| {
                     let is_call = rest.starts_with('.') && rest.matches('.').count() == 1;
-                    let is_other_side = rest.is_empty() && found.role == Role::Entry;
+                    let is_other_side = rest.is_empty() && deepest.role == Role::Entry;
                     is_call || is_other_side && step.role == Role::Target
                 })
         };
-        // A nested call says more than the target side of the same attempt.
+        // A nested call is closer to the cause than the target side of the same attempt.
         let below =
-            steps.iter().filter(is_caused_by_found).max_by_key(|step| (step.depth, step.unix_ms));
-        let Some(below) = below else { return Some(found) };
-        found = below;
+            steps.iter().filter(caused_deepest).max_by_key(|step| (step.depth, step.unix_ms));
+        let Some(below) = below else { return Some(deepest) };
+        deepest = below;
     }
 }
 
@@ -337,7 +337,7 @@
     context
 }
 
-/// The cause that the failed step states.
+/// Determines the cause from the deepest failed step and its context.
 fn cause_of_step(step: &Step, last_node: &str, steps: &[Step], context: &[Line]) -> Cause {
     let node = last_node.to_owned();
     let service = service_of(step, steps);
--- a/src/explain/line.rs
+++ b/src/explain/line.rs
@@ -1,10 +1,11 @@
 //! Reads the log lines of nodes.
+
 use std::net::SocketAddr;
 
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// The first event of a node; it holds the name and the address of the node.
+/// The event that a node logs first, with its name and address.
 const STARTED_EVENT: &str = "MeshStarted";
 
 /// One line of a node's log.
@@ -22,7 +23,7 @@
 
 impl Line {
     /// Parses a line. The last word before the JSON, which a log collector may add, is the name of
-    /// the node; without one it is `node`. Returns `None` for lines that no node wrote.
+    /// the node; without one it is `node`. Returns `None` for lines of other programs.
     fn parse(text: &str, node: &str) -> Option<Self> {
         let (prefix, json) = text.split_at(text.find('{')?);
         let mut fields: Map<String, Value> = serde_json::from_str(json.trim()).ok()?;
--- a/src/explain/mod.rs
+++ b/src/explain/mod.rs
@@ -1,8 +1,8 @@
 //! Explains the outcome of one request afterwards, from the logs of the nodes alone.
 //!
 //! Log lines about a request and its nested calls are put into call order rather than time order,
-//! since the clocks of different VMs differ. The cause is taken from the deepest failed step and from
-//! the events that its node logged around that time.
+//! since the clocks of different VMs differ. The cause is taken from the deepest failed step and
+//! from the events that its node logged around that time.
 
 mod cause;
 mod line;
@@ -15,12 +15,12 @@
 pub use line::{Line, read_lines};
 pub use step::Step;
 
-/// What the logs say about one request.
+/// The outcome of one request and its cause, as found in the logs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Explanation {
     /// The id of the caller's request.
     pub id: String,
-    /// What happened to the request, in call order.
+    /// The steps of the request, in call order.
     pub steps: Vec<Step>,
     /// Why it ended the way it did.
     pub cause: Cause,
@@ -31,7 +31,7 @@
 }
 
 impl Explanation {
-    /// The explanation as text for people.
+    /// The explanation as human-readable text.
     pub fn page(&self) -> String {
         page::page(self)
     }
--- a/src/explain/page.rs
+++ b/src/explain/page.rs
@@ -1,4 +1,4 @@
-//! Formats an explanation as text for people.
+//! Formats an explanation as human-readable text.
 
 use std::fmt::Write;
 
--- a/src/explain/step.rs
+++ b/src/explain/step.rs
@@ -1,4 +1,4 @@
-//! What happened to a request at one node.
+//! The steps of a request: what each log line about it says of one attempt at one node.
 
 use std::net::SocketAddr;
 
@@ -19,12 +19,12 @@
     Target,
 }
 
-/// What happened to a request, or to one of its nested calls, at one node.
+/// One step: the outcome of a request, or of one of its nested calls, at one node.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Step {
     /// The id of the attempt.
     pub attempt: String,
-    /// The number of calls between the attempt and the caller.
+    /// The number of calls between the attempt and the caller; 0 for the caller's own request.
     pub depth: usize,
     /// The role of the node.
     pub role: Role,
@@ -36,7 +36,7 @@
     pub took_ms: u64,
     /// The route of the caller's request.
     pub root: String,
-    /// The service that was to run it.
+    /// The service that was to run the attempt.
     pub service: String,
     /// `answered`, `not_run`, `may_have_run`, or `withdrawn` if the caller had disconnected.
     pub verdict: String,
