--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -1,4 +1,4 @@
-//! Prometheus metrics: names and units, cached handles, and the text that is scraped.
+//! Prometheus metrics: their catalogue, cached handles and the scraped text.
 //!
 //! Each node has its own recorder rather than a process-wide one, so that a test can run several
 //! nodes. Series are registered on first use and their handles cached, so that an increment on the
@@ -83,7 +83,7 @@
         self.shared.handle.run_upkeep();
     }
 
-    /// The handles for the thread that handles calls.
+    /// The metrics of calls, for the thread that handles them.
     pub fn calls(&self, names: LabelNames) -> CallMetrics {
         CallMetrics::new(self.clone(), names)
     }
@@ -122,12 +122,12 @@
         &self,
         ring: &'static str,
         capacity: usize,
-        fill: impl Fn() -> usize + Send + Sync + 'static,
+        length: impl Fn() -> usize + Send + Sync + 'static,
     ) -> Counter {
         let labels = [("ring", ring)];
         self.gauge_with(names::RING_CAPACITY_ENTRIES, &labels).set(capacity as f64);
         let entries = self.gauge_with(names::RING_ENTRIES, &labels);
-        self.on_scrape(move || entries.set(fill() as f64));
+        self.on_scrape(move || entries.set(length() as f64));
         self.counter_with(names::RING_REFUSED_TOTAL, &labels)
     }
 
@@ -144,7 +144,7 @@
         scrape_hooks.push(Box::new(hook));
     }
 
-    /// Lets a macro of the `metrics` facade register with this node's recorder.
+    /// Runs a macro of the `metrics` facade with this node's recorder.
     fn register<H>(&self, make: impl FnOnce() -> H) -> H {
         with_local_recorder(&self.shared.recorder, make)
     }
--- a/src/telemetry/metrics/calls.rs
+++ b/src/telemetry/metrics/calls.rs
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Applies the names of a new configuration to everything that is counted from now on.
+    /// Applies the names and the version of a new configuration to all later values.
     pub fn set_config(&mut self, config_version: u64, names: LabelNames) {
         // The gauges of an arm that is no longer in force must not keep their last values.
         for gauges in self.loads.values() {
@@ -262,21 +262,21 @@
         received.increment(1);
     }
 
-    /// Adds the time the target spent on a call; `wasted` if the result was of no use.
+    /// Adds the time the target spent on a call. `wasted` says whether the result was of no use.
     pub fn target_ended(&mut self, class: ClassRank, arm: ArmId, took_us: u64, wasted: bool) {
         let Self { metrics, names, .. } = self;
         let labels = || [("class", names.class(class)), ("arm", names.arm(arm))];
-        let busy = self.busy.entry((class, arm)).or_insert_with(|| {
+        let busy_time = self.busy.entry((class, arm)).or_insert_with(|| {
             metrics.counter_with(names::TARGET_BUSY_MICROSECONDS_TOTAL, &labels())
         });
-        busy.increment(took_us);
+        busy_time.increment(took_us);
         if !wasted {
             return;
         }
-        let lost = self.wasted.entry((class, arm)).or_insert_with(|| {
+        let wasted_time = self.wasted.entry((class, arm)).or_insert_with(|| {
             metrics.counter_with(names::TARGET_WASTED_MICROSECONDS_TOTAL, &labels())
         });
-        lost.increment(took_us);
+        wasted_time.increment(took_us);
     }
 
     /// Exports the load of an arm. Meant to be called periodically rather than for each call.
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -26,10 +26,10 @@
 
 /// Default capacity of the ring buffer in front of the exporting thread, in spans.
 pub const RING_ENTRIES_DEFAULT: usize = 8_192;
-/// The number of trace id bits that decide about sampling: the upper 53 of the low 56 bits, which
-/// are random (W3C Trace Context, level 2). A double holds 53 bits exactly.
+/// The number of trace id bits that decide on sampling: the upper 53 of the low 56 bits, which are
+/// random (W3C Trace Context, level 2). A double holds 53 bits exactly.
 const RANDOM_BITS: u32 = 53;
-/// How long a stop waits until the remaining spans are sent.
+/// Timeout for sending the remaining spans when the thread is stopped.
 const FINAL_EXPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How spans are sent.
@@ -125,7 +125,8 @@
     ///
     /// # Errors
     ///
-    /// Invalid options, or a thread that cannot be started. An unavailable collector is not an error.
+    /// Invalid options, or a thread that cannot be started. An unavailable collector is not an
+    /// error.
     pub fn start(
         options: &TraceOptions,
         metrics: &Metrics,
@@ -147,7 +148,8 @@
         self.sink.clone()
     }
 
-    /// Sends the spans in the ring buffer, within a short timeout, and stops the thread.
+    /// Sends the spans in the ring buffer, for `FINAL_EXPORT_TIMEOUT` at most, and stops the
+    /// thread.
     pub fn stop(self) {
         // Fails if the thread has already ended.
         let _ = self.stop.send(());
--- a/src/telemetry/trace/export.rs
+++ b/src/telemetry/trace/export.rs
@@ -82,7 +82,7 @@
             self.export(batch).await;
         }
         ring.close();
-        // Spans that are not sent by then are lost.
+        // Spans that are not sent within the timeout are lost.
         let _ = timeout(FINAL_EXPORT_TIMEOUT, self.export_remaining(&mut ring)).await;
     }
 
