--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! Simulates nodes that run the real membership and configuration state machines over a lossy
 //! network and a fake table service. Time is simulated, and a run is determined by its seed.
 
-// No test file uses all of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -50,10 +50,11 @@
     pub configuration: Configuration,
     pub up: bool,
     pub paused: bool,
-    /// The state of each member as routing would see it.
+    /// The state of each known member, as reported to routing.
     pub member_states: BTreeMap<NodeId, MemberState>,
-    /// Members that it has ever seen leaving.
+    /// Members that it has ever known as leaving.
     seen_leaving: BTreeSet<NodeId>,
+    /// The configuration versions that came into force, in order.
     pub in_force: Vec<u64>,
     /// The outcomes of submissions, with their IDs.
     pub outcomes: Vec<(u64, SubmitOutcome)>,
@@ -62,7 +63,8 @@
     pub sent_messages: u64,
     pub received_bytes: u64,
     started_us: u64,
-    held: Vec<Delivery>,
+    /// Events that arrived while the node was paused.
+    held_deliveries: Vec<Delivery>,
     wake_us: u64,
 }
 
@@ -78,21 +80,26 @@
 pub struct Fleet {
     pub now_us: u64,
     pub nodes: Vec<Node>,
+    /// The probability that a message is lost.
     pub loss: f64,
+    /// The probability that a message is delivered twice.
     pub duplicates: f64,
     pub table: Table,
     /// The partition of each node. Nodes in different partitions cannot reach each other.
     pub partition_of: Vec<usize>,
     pub member_rows: BTreeMap<String, MemberRow>,
+    /// The row of the accepted configuration.
     pub row: Option<TableRow>,
     pub reads: u64,
     pub writes: u64,
     pub deletes: u64,
     pub wakes: u64,
-    /// When rows were read and written.
+    /// When rows were read.
     pub read_at_us: Vec<u64>,
+    /// When member rows were written.
     pub write_at_us: Vec<u64>,
-    /// Real time spent in the two state machines and events handled, for measurements only.
+    /// Real time spent in the two state machines and the number of events they handled, for
+    /// measurements only.
     pub membership_ns: u64,
     pub membership_events: u64,
     pub configuration_ns: u64,
@@ -203,7 +210,7 @@
             sent_messages: 0,
             received_bytes: 0,
             started_us: self.now_us,
-            held: vec![],
+            held_deliveries: vec![],
             wake_us: u64::MAX,
         });
         for call in calls {
@@ -216,7 +223,7 @@
         index
     }
 
-    /// Lets a node's membership handle an event and carries out the resulting actions.
+    /// Passes an event to a node's membership and carries out the resulting actions.
     pub fn handle_membership(&mut self, index: usize, event: MembershipEvent<'_>) {
         let node = &mut self.nodes[index];
         let mut actions = Vec::new();
@@ -230,7 +237,7 @@
         self.schedule_wake(index);
     }
 
-    /// Lets a node's configuration handle an event and carries out the resulting actions.
+    /// Passes an event to a node's configuration and carries out the resulting actions.
     pub fn handle_configuration(&mut self, index: usize, event: ConfigurationEvent<'_>) {
         let node = &mut self.nodes[index];
         let mut actions = Vec::new();
@@ -276,7 +283,7 @@
 
     pub fn resume(&mut self, index: usize) {
         self.nodes[index].paused = false;
-        for delivery in std::mem::take(&mut self.nodes[index].held) {
+        for delivery in std::mem::take(&mut self.nodes[index].held_deliveries) {
             self.deliver(index, delivery);
         }
         self.deliver(index, Delivery::Wake);
@@ -308,7 +315,7 @@
             return;
         }
         if self.nodes[index].paused {
-            self.nodes[index].held.push(delivery);
+            self.nodes[index].held_deliveries.push(delivery);
             return;
         }
         match delivery {
@@ -407,8 +414,9 @@
             }
             MembershipAction::DeleteRow { key, version } => {
                 self.deletes += 1;
-                let fits = self.member_rows.get(&key).is_some_and(|row| row.version == version);
-                if fits && self.table != Table::Down {
+                let version_matches =
+                    self.member_rows.get(&key).is_some_and(|row| row.version == version);
+                if version_matches && self.table != Table::Down {
                     self.member_rows.remove(&key);
                 }
             }
--- a/tests/membership_faults.rs
+++ b/tests/membership_faults.rs
@@ -22,11 +22,15 @@
     Leave(usize),
     Pause(usize),
     Resume(usize),
+    /// Moves a node to a partition.
     Partition(usize, usize),
+    /// Ends all partitions.
     Heal,
     Table(Table),
+    /// Sets the probabilities that a message is lost and that it is delivered twice.
     Loss(f64, f64),
     Submit(usize),
+    /// Submits different documents at two nodes at the same time.
     SubmitTwice(usize, usize),
 }
 
@@ -43,7 +47,7 @@
         Just(Fault::Heal),
         prop_oneof![Just(Table::Up), Just(Table::Down), Just(Table::LoseAnswers)]
             .prop_map(Fault::Table),
-        (0.0..0.5f64, 0.0..0.3f64).prop_map(|(loss, twice)| Fault::Loss(loss, twice)),
+        (0.0..0.5f64, 0.0..0.3f64).prop_map(|(loss, duplicates)| Fault::Loss(loss, duplicates)),
         node.clone().prop_map(Fault::Submit),
         (node.clone(), node).prop_map(|(a, b)| Fault::SubmitTwice(a, b)),
     ]
@@ -148,11 +152,11 @@
 
 /// Each node knows exactly the serving members of the services that it tracks.
 fn check_members(fleet: &Fleet) {
-    let serves = |index: &usize| {
+    let is_serving = |index: &usize| {
         let node = &fleet.nodes[*index];
         node.up && node.membership.own().state == MemberState::Serving
     };
-    let serving: Vec<usize> = (0..fleet.nodes.len()).filter(serves).collect();
+    let serving: Vec<usize> = (0..fleet.nodes.len()).filter(is_serving).collect();
     let names: BTreeSet<&str> =
         serving.iter().map(|i| fleet.nodes[*i].membership.own().name.as_str()).collect();
     assert_eq!(names.len(), serving.len(), "two incarnations serve under one name");
@@ -178,7 +182,7 @@
     }
 }
 
-/// All nodes have the version in the table, and every submission ended as its sender was told.
+/// All nodes have the version in the table, and every submission ended as reported to its sender.
 fn check_configuration(fleet: &Fleet) {
     let row = fleet.row.as_ref().map(|row| &row.accepted);
     let version = row.map_or(0, |accepted| accepted.version());
--- a/tests/node_retry.rs
+++ b/tests/node_retry.rs
@@ -1,4 +1,5 @@
-//! The answer to a caller when attempts of its request end in different ways.
+//! Tests one node through its events: the verdict that a caller receives after failed attempts, the
+//! lifetime of minted keys, and which target time counts as wasted.
 
 use std::sync::Arc;
 
@@ -73,7 +74,7 @@
     node.handle(now_us, NodeEvent::TargetAnnounced(announcement), &mut Vec::new());
 }
 
-/// Sends a read and returns its first attempt, which is running.
+/// Sends a read and returns its first attempt, which is running at the target.
 fn start_read(node: &mut Node, now_us: u64) -> AttemptId {
     let request = HttpRequest {
         method: "GET".to_owned(),
@@ -94,13 +95,13 @@
     run_attempt(&out).unwrap_or_else(|| panic!("no attempt reached the target: {out:?}"))
 }
 
-/// Sends a read whose first run breaks off; returns the answers sent so far.
+/// Sends a read whose first attempt the target breaks off; returns the answers sent so far.
 fn start_read_that_breaks(node: &mut Node, now_us: u64) -> Vec<Verdict> {
     let attempt = start_read(node, now_us);
-    let mut after = Vec::new();
+    let mut out = Vec::new();
     let ended = NodeEvent::TargetEnded { attempt, outcome: TargetOutcome::Broke };
-    node.handle(now_us + 1_000, ended, &mut after);
-    replies(&after)
+    node.handle(now_us + 1_000, ended, &mut out);
+    replies(&out)
 }
 
 fn run_attempt(out: &[NodeAction]) -> Option<AttemptId> {
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -24,15 +24,15 @@
 use target::Targets;
 
 /// Microseconds in a millisecond.
-pub const MS: u64 = 1_000;
+pub const US_PER_MS: u64 = 1_000;
 /// The retry allowance of every root in the simulated site.
 const ALLOWANCE: u32 = 3;
 /// How often a target announces itself, in microseconds.
-const ANNOUNCE_EVERY_US: u64 = 2_000 * MS;
+const ANNOUNCE_EVERY_US: u64 = 2_000 * US_PER_MS;
 /// The wall clock at time zero, in milliseconds since the Unix epoch.
 const ORIGIN_UNIX_MS: u64 = 1_800_000_000_000;
-/// The first ticket of calls made by targets; smaller ones are outside callers'.
-const CHILD_TICKETS: u64 = 1 << 40;
+/// The first ticket of calls made by targets; smaller tickets are those of outside callers.
+const FIRST_CHILD_TICKET: u64 = 1 << 40;
 
 /// An event scheduled for one process of a host.
 #[derive(Debug)]
@@ -50,7 +50,8 @@
     service: &'static str,
     paused_until_us: u64,
     next_tick_us: u64,
-    version: u64,
+    /// The configuration version in force.
+    config_version: u64,
     is_leaving: bool,
 }
 
@@ -85,7 +86,7 @@
     queue: BTreeMap<(u64, u64), ScheduledEvent>,
     sequence: u64,
     hosts: Vec<Host>,
-    /// Until when messages from one host to another are lost.
+    /// When the partition between a sending and a receiving host ends, in microseconds.
     partitions: HashMap<(usize, usize), u64>,
     targets: Targets,
     /// Retries sent over the network, by root.
@@ -98,16 +99,16 @@
 impl Site {
     /// A site of three services that call each other in a chain, two nodes each, all up.
     pub fn start(seed: u64, network: Network) -> Self {
-        Self::with(seed, network, &["front", "front", "mid", "mid", "deep", "deep"])
+        Self::with_services(seed, network, &["front", "front", "mid", "mid", "deep", "deep"])
     }
 
     /// A site of one node, whose target makes no calls.
     pub fn single_node(seed: u64, network: Network) -> Self {
-        Self::with(seed, network, &["deep"])
+        Self::with_services(seed, network, &["deep"])
     }
 
     /// A site with one node for each entry of `services`.
-    fn with(seed: u64, network: Network, services: &[&'static str]) -> Self {
+    fn with_services(seed: u64, network: Network, services: &[&'static str]) -> Self {
         let mut site = Self {
             now_us: 0,
             network,
@@ -129,7 +130,7 @@
                 service,
                 paused_until_us: 0,
                 next_tick_us: u64::MAX,
-                version: 0,
+                config_version: 0,
                 is_leaving: false,
             });
             site.restart(index);
@@ -150,13 +151,13 @@
         let host = &mut self.hosts[index];
         host.node = Some(node);
         host.incarnation += 1;
-        host.version = 0;
+        host.config_version = 0;
         host.is_leaving = false;
         host.next_tick_us = u64::MAX;
         self.targets.drop_host(index);
         let announcement = target::announcement(index, self.hosts[index].service);
         self.schedule(index, self.now_us, NodeEvent::TargetAnnounced(announcement));
-        self.schedule_link_events(index, |peer| NodeEvent::LinkUp { peer }, 100 * MS);
+        self.schedule_link_events(index, |peer| NodeEvent::LinkUp { peer }, 100 * US_PER_MS);
     }
 
     /// Kills the node process of a host.
@@ -164,25 +165,25 @@
         self.hosts[index].node = None;
         self.hosts[index].incarnation += 1;
         self.targets.drop_host(index);
-        self.schedule_link_events(index, |peer| NodeEvent::LinkLost { peer }, 20 * MS);
+        self.schedule_link_events(index, |peer| NodeEvent::LinkLost { peer }, 20 * US_PER_MS);
     }
 
     /// Schedules a connection event about this host at every other host.
     fn schedule_link_events(
         &mut self,
         index: usize,
-        make: impl Fn(SocketAddr) -> NodeEvent,
+        make_event: impl Fn(SocketAddr) -> NodeEvent,
         after_us: u64,
     ) {
         let peer = self.hosts[index].address;
         for other in 0..self.hosts.len() {
             if other != index {
-                self.schedule(other, self.now_us + after_us, make(peer));
+                self.schedule(other, self.now_us + after_us, make_event(peer));
             }
         }
     }
 
-    /// Pauses a node process for a while; it is not notified.
+    /// Pauses a node process for a while; it receives no event about the pause.
     pub fn pause(&mut self, index: usize, for_us: u64) {
         self.hosts[index].paused_until_us = self.now_us + for_us;
     }
@@ -194,11 +195,11 @@
             self.partitions.insert((from, to), until_us);
             let peer = self.hosts[to].address;
             self.schedule(from, self.now_us + for_us / 2, NodeEvent::LinkLost { peer });
-            self.schedule(from, until_us + MS, NodeEvent::LinkUp { peer });
+            self.schedule(from, until_us + US_PER_MS, NodeEvent::LinkUp { peer });
         }
     }
 
-    /// Asks a node to leave.
+    /// Requests that a node leave.
     pub fn leave(&mut self, index: usize) {
         self.schedule(index, self.now_us, NodeEvent::Leave { asked_by: LeaveRequester::Signal });
         self.hosts[index].is_leaving = true;
@@ -209,7 +210,7 @@
         let document = serde_json::json!({ "base": rules() }).to_string();
         let submission = self.rng.random();
         let by = format!("host {index}");
-        let at_unix_ms = ORIGIN_UNIX_MS + self.now_us / MS;
+        let at_unix_ms = ORIGIN_UNIX_MS + self.now_us / US_PER_MS;
         let submit =
             aspenspring::configuration::Submit { submission, based_on, by, at_unix_ms, document };
         self.schedule(index, self.now_us, NodeEvent::Submit(submit));
@@ -222,7 +223,7 @@
         self.call_path(host, confirm, path, None);
     }
 
-    /// Makes a confirmation with a key of the caller's own format; the path depends only on the key.
+    /// Makes a confirmation with a caller-supplied key; the path depends only on the key.
     pub fn confirm_with_key(&mut self, host: usize, key: &str) {
         self.call_path(host, true, format!("/confirm/{key}"), Some(key.to_owned()));
     }
@@ -246,7 +247,7 @@
             key,
             trace: None,
         };
-        let deadline_us = self.now_us + 1_000 * MS;
+        let deadline_us = self.now_us + 1_000 * US_PER_MS;
         let is_up = self.hosts[host].node.is_some();
         let incarnation = if is_up { self.hosts[host].incarnation } else { u32::MAX };
         let service = self.hosts[host].service;
@@ -303,18 +304,21 @@
         let Some(node) = &mut host.node else { return Ok(()) };
         if let NodeEvent::TargetAnnounced(announcement) = &scheduled.event {
             // A target repeats its announcement as long as its node runs.
-            let again = NodeEvent::TargetAnnounced(announcement.clone());
-            let event = ScheduledEvent { event: again, ..scheduled };
+            let repeated = NodeEvent::TargetAnnounced(announcement.clone());
+            let event = ScheduledEvent { event: repeated, ..scheduled };
             self.sequence += 1;
             self.queue.insert((self.now_us + ANNOUNCE_EVERY_US, self.sequence), event);
         }
         let mut actions = Vec::new();
         node.handle(self.now_us, scheduled.event, &mut actions);
         let version = node.config_version();
-        if version < host.version {
-            return Err(format!("config version went back from {} to {version}", host.version));
+        if version < host.config_version {
+            return Err(format!(
+                "config version went back from {} to {version}",
+                host.config_version
+            ));
         }
-        host.version = version;
+        host.config_version = version;
         let wake_us = node.next_wake_us();
         self.schedule_tick(scheduled.host, wake_us);
         for action in actions {
@@ -370,7 +374,7 @@
             }
             NodeAction::Store(request) => {
                 if let Some(event) = self.table.handle(request) {
-                    self.schedule(index, self.now_us + 5 * MS, NodeEvent::Store(event));
+                    self.schedule(index, self.now_us + 5 * US_PER_MS, NodeEvent::Store(event));
                 }
                 Ok(())
             }
@@ -397,7 +401,7 @@
 
     /// Handles the result of a call by an outside caller or a target.
     fn on_reply(&mut self, index: usize, ticket: Ticket, end: CallEnd) -> InvariantResult {
-        if ticket.0 >= CHILD_TICKETS {
+        if ticket.0 >= FIRST_CHILD_TICKET {
             let events = self.targets.on_child_ended(index, ticket, &end, &mut self.rng);
             self.schedule_all(index, events);
             return Ok(());
@@ -440,7 +444,7 @@
         from: usize,
         to: usize,
         message: Message,
-        make: impl Fn(Message) -> NodeEvent,
+        make_event: impl Fn(Message) -> NodeEvent,
     ) {
         let partitioned_until_us = self.partitions.get(&(from, to)).copied().unwrap_or(0);
         if partitioned_until_us > self.now_us || self.rng.random_bool(self.network.loss) {
@@ -449,7 +453,7 @@
         let copies = 1 + u32::from(self.rng.random_bool(self.network.duplicate));
         for _ in 0..copies {
             let delay_us = self.rng.random_range(100..=100 + self.network.delay_max_us);
-            self.schedule(to, self.now_us + delay_us, make(message.clone()));
+            self.schedule(to, self.now_us + delay_us, make_event(message.clone()));
         }
     }
 
@@ -466,8 +470,8 @@
         Ok(())
     }
 
-    /// Checks that every call at a node that stayed up was answered in time, and that "not run" was
-    /// true.
+    /// Checks that every call at a node that stayed up was answered in time, and that no call
+    /// answered "not run" ran.
     pub fn check_end(&self) -> InvariantResult {
         for id in 0..self.calls.len() {
             self.check_not_run(id)?;
@@ -475,7 +479,9 @@
             let host = &self.hosts[call.host];
             let must_be_answered =
                 host.incarnation == call.incarnation && host.paused_until_us < call.deadline_us;
-            if must_be_answered && call.end.is_none() && call.deadline_us + 1_000 * MS < self.now_us
+            if must_be_answered
+                && call.end.is_none()
+                && call.deadline_us + 1_000 * US_PER_MS < self.now_us
             {
                 return Err(format!("{} was never answered", call.path));
             }
@@ -486,7 +492,7 @@
     /// The configuration versions of the nodes that are up and not leaving.
     pub fn versions(&self) -> Vec<u64> {
         let up = self.hosts.iter().filter(|host| host.node.is_some() && !host.is_leaving);
-        up.map(|host| host.version).collect()
+        up.map(|host| host.config_version).collect()
     }
 
     /// How many calls were answered with status 200.
--- a/tests/site/target.rs
+++ b/tests/site/target.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-use super::{CHILD_TICKETS, MS};
+use super::{FIRST_CHILD_TICKET, US_PER_MS};
 
 /// A request running at a target.
 struct Job {
@@ -21,9 +21,11 @@
 #[derive(Default)]
 pub struct Targets {
     jobs: HashMap<AttemptId, Job>,
+    /// The running attempt that made each call to the next service.
     children: HashMap<Ticket, AttemptId>,
+    /// The number of runs of each path at each service.
     runs: HashMap<(&'static str, String), u32>,
-    tickets: u64,
+    last_ticket: u64,
 }
 
 /// The announcement of a target.
@@ -59,8 +61,11 @@
             _ => None,
         };
         let events = match downstream {
-            Some(downstream) => vec![(MS, self.child_call(attempt, &call, downstream))],
-            None => vec![(rng.random_range(MS..30 * MS), answered_event(attempt, 200, &path))],
+            Some(downstream) => vec![(US_PER_MS, self.child_call(attempt, &call, downstream))],
+            None => vec![(
+                rng.random_range(US_PER_MS..30 * US_PER_MS),
+                answered_event(attempt, 200, &path),
+            )],
         };
         self.jobs.insert(attempt, Job { host, call });
         Ok(events)
@@ -68,8 +73,8 @@
 
     /// A target's call to the next service.
     fn child_call(&mut self, attempt: AttemptId, call: &TargetCall, service: &str) -> NodeEvent {
-        self.tickets += 1;
-        let ticket = Ticket(CHILD_TICKETS + self.tickets);
+        self.last_ticket += 1;
+        let ticket = Ticket(FIRST_CHILD_TICKET + self.last_ticket);
         self.children.insert(ticket, attempt);
         let incoming = IncomingRequest {
             ticket,
@@ -97,7 +102,7 @@
         let is_complete = matches!(&end.verdict, Verdict::Answered(answer) if answer.status == 200);
         let status = if is_complete { 200 } else { 503 };
         let path = job.call.request.path.clone();
-        vec![(rng.random_range(MS..5 * MS), answered_event(attempt, status, &path))]
+        vec![(rng.random_range(US_PER_MS..5 * US_PER_MS), answered_event(attempt, status, &path))]
     }
 
     /// Aborts a request.
@@ -106,7 +111,7 @@
         if job.host != host {
             return Vec::new();
         }
-        vec![(MS, NodeEvent::TargetEnded { attempt, outcome: TargetOutcome::Aborted })]
+        vec![(US_PER_MS, NodeEvent::TargetEnded { attempt, outcome: TargetOutcome::Aborted })]
     }
 
     /// Drops the requests of a host whose node process ended.
--- a/tests/site_faults.rs
+++ b/tests/site_faults.rs
@@ -6,9 +6,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use site::{InvariantResult, MS, Network, Site, TableMode};
+use site::{InvariantResult, Network, Site, TableMode, US_PER_MS};
 
-const SECOND: u64 = 1_000 * MS;
+/// Microseconds in a second.
+const US_PER_S: u64 = 1_000 * US_PER_MS;
 /// The seed of the random cases.
 const SEED: u64 = 0x5eed_a59e;
 /// The default number of random cases.
@@ -16,22 +17,49 @@
 
 /// The number of random cases, which the environment can set.
 fn cases() -> u32 {
-    let asked = std::env::var("ASPENSPRING_FAULT_CASES").ok();
-    asked.and_then(|cases| cases.parse().ok()).unwrap_or(CASES)
+    let configured = std::env::var("ASPENSPRING_FAULT_CASES").ok();
+    configured.and_then(|cases| cases.parse().ok()).unwrap_or(CASES)
 }
 
 /// A fault or an operation in a run.
 #[derive(Clone, Debug)]
 enum Op {
-    Call { host: usize, confirm: bool },
-    SameKey { one: usize, other: usize, key: u8 },
-    Kill { host: usize },
-    Pause { host: usize, for_ms: u64 },
-    Partition { one: usize, other: usize, for_ms: u64 },
-    Leave { host: usize },
-    Table { mode: TableMode },
-    Submit { host: usize, based_on: u64 },
-    Wait { for_ms: u64 },
+    Call {
+        host: usize,
+        confirm: bool,
+    },
+    /// Two confirmations with the same caller-supplied key.
+    SameKey {
+        one: usize,
+        other: usize,
+        key: u8,
+    },
+    /// Kills the node process of a host and starts a new one.
+    Kill {
+        host: usize,
+    },
+    Pause {
+        host: usize,
+        for_ms: u64,
+    },
+    Partition {
+        one: usize,
+        other: usize,
+        for_ms: u64,
+    },
+    Leave {
+        host: usize,
+    },
+    Table {
+        mode: TableMode,
+    },
+    Submit {
+        host: usize,
+        based_on: u64,
+    },
+    Wait {
+        for_ms: u64,
+    },
 }
 
 fn op_strategy() -> impl Strategy<Value = Op> {
@@ -55,15 +83,15 @@
 
 fn run(seed: u64, network: Network, ops: &[Op]) -> Result<Site, String> {
     let mut site = Site::start(seed, Network::default());
-    site.run(3 * SECOND)?;
+    site.run(3 * US_PER_S)?;
     site.network = network;
     for op in ops {
         apply(&mut site, op)?;
-        site.run(site.now_us + 3 * MS)?;
+        site.run(site.now_us + 3 * US_PER_MS)?;
     }
     site.network = Network::default();
     site.table.mode = TableMode::Up;
-    site.run(site.now_us + 4 * SECOND)?;
+    site.run(site.now_us + 4 * US_PER_S)?;
     site.check_end()?;
     Ok(site)
 }
@@ -80,16 +108,16 @@
             site.kill(host);
             site.restart(host);
         }
-        Op::Pause { host, for_ms } => site.pause(host, for_ms * MS),
+        Op::Pause { host, for_ms } => site.pause(host, for_ms * US_PER_MS),
         Op::Partition { one, other, for_ms } if one != other => {
-            site.partition(one, other, for_ms * MS);
+            site.partition(one, other, for_ms * US_PER_MS);
         }
         Op::Partition { .. } => {}
         Op::Leave { host } => site.leave(host),
         Op::Table { mode } => site.table.mode = mode,
         Op::Submit { host, based_on } => site.submit(host, based_on),
         Op::Wait { for_ms } => {
-            return site.run(site.now_us + for_ms * MS);
+            return site.run(site.now_us + for_ms * US_PER_MS);
         }
     }
     Ok(())
@@ -112,22 +140,22 @@
         delay_max_ms in 1..40u64,
         ops in proptest::collection::vec(op_strategy(), 1..120),
     ) {
-        let network = Network { loss, duplicate, delay_max_us: delay_max_ms * MS };
-        if let Err(broken) = run(seed, network, &ops) {
-            prop_assert!(false, "{}", broken);
+        let network = Network { loss, duplicate, delay_max_us: delay_max_ms * US_PER_MS };
+        if let Err(violation) = run(seed, network, &ops) {
+            prop_assert!(false, "{}", violation);
         }
     }
 }
 
 #[test]
 fn a_healthy_site_serves_everything() -> InvariantResult {
-    let mut site = Site::start(7, Network { delay_max_us: 2 * MS, ..Network::default() });
-    site.run(3 * SECOND)?;
+    let mut site = Site::start(7, Network { delay_max_us: 2 * US_PER_MS, ..Network::default() });
+    site.run(3 * US_PER_S)?;
     for index in 0..200 {
         site.call(index % 2, index % 5 == 0);
-        site.run(site.now_us + 10 * MS)?;
+        site.run(site.now_us + 10 * US_PER_MS)?;
     }
-    site.run(site.now_us + 3 * SECOND)?;
+    site.run(site.now_us + 3 * US_PER_S)?;
     site.check_end()?;
     if site.served() != 200 {
         return Err(format!("{} of 200 served", site.served()));
@@ -137,12 +165,12 @@
 
 #[test]
 fn a_configuration_reaches_every_node_with_the_table_away_after_the_accept() -> InvariantResult {
-    let mut site = Site::start(11, Network { delay_max_us: 2 * MS, ..Network::default() });
-    site.run(3 * SECOND)?;
+    let mut site = Site::start(11, Network { delay_max_us: 2 * US_PER_MS, ..Network::default() });
+    site.run(3 * US_PER_S)?;
     site.submit(0, 0);
-    site.run(site.now_us + 30 * MS)?;
+    site.run(site.now_us + 30 * US_PER_MS)?;
     site.table.mode = TableMode::Down;
-    site.run(site.now_us + 8 * SECOND)?;
+    site.run(site.now_us + 8 * US_PER_S)?;
     let versions = site.versions();
     if versions.iter().any(|version| *version != 1) {
         return Err(format!("versions in force: {versions:?}"));
@@ -153,15 +181,15 @@
 #[test]
 fn a_read_whose_caller_has_gone_is_cancelled_at_every_hop() -> InvariantResult {
     let mut site = Site::start(13, Network::default());
-    site.run(3 * SECOND)?;
+    site.run(3 * US_PER_S)?;
     site.call(0, false);
-    site.run(site.now_us + 2 * MS)?;
+    site.run(site.now_us + 2 * US_PER_MS)?;
     if site.in_flight() == 0 {
         return Err("the call ended before its caller disconnected".to_owned());
     }
     site.disconnect_last_caller();
     // Targets abort within 1 ms; a run takes up to 30 ms.
-    site.run(site.now_us + 4 * MS)?;
+    site.run(site.now_us + 4 * US_PER_MS)?;
     match site.in_flight() {
         0 => Ok(()),
         left => Err(format!("{left} still in flight")),
@@ -171,15 +199,15 @@
 #[test]
 fn a_node_whose_table_is_away_for_ten_minutes_goes_on_serving() -> InvariantResult {
     let mut site = Site::single_node(17, Network::default());
-    site.run(8 * SECOND)?;
+    site.run(8 * US_PER_S)?;
     site.table.mode = TableMode::Down;
     for minute in 1..=10 {
         for call in 0..12 {
-            site.run((8_000 + minute * 60_000 + call * 5_000) * MS)?;
+            site.run((8_000 + minute * 60_000 + call * 5_000) * US_PER_MS)?;
             site.call(0, false);
         }
     }
-    site.run(site.now_us + 2 * SECOND)?;
+    site.run(site.now_us + 2 * US_PER_S)?;
     match site.served() {
         120 => Ok(()),
         served => Err(format!("{served} of 120 served")),
@@ -188,7 +216,7 @@
 
 /// A site that has served calls for a while, with one more confirmation entering at `entry`. The
 /// node at `leaving` starts to leave `after_ms` later; at that moment the entry node is paused for
-/// `frozen_ms`.
+/// `paused_ms`.
 fn call_during_planned_stop(
     entry: usize,
     leaving: usize,
@@ -196,16 +224,16 @@
     paused_ms: u64,
 ) -> Result<Site, String> {
     let mut site = Site::start(19, Network::default());
-    site.run(3 * SECOND)?;
+    site.run(3 * US_PER_S)?;
     for index in 0..40 {
         site.call(entry ^ (index & 1), true);
-        site.run(site.now_us + 40 * MS)?;
+        site.run(site.now_us + 40 * US_PER_MS)?;
     }
-    site.run(site.now_us + 2 * SECOND)?;
+    site.run(site.now_us + 2 * US_PER_S)?;
     site.call(entry, true);
-    site.run(site.now_us + after_ms * MS)?;
+    site.run(site.now_us + after_ms * US_PER_MS)?;
     site.leave(leaving);
-    site.pause(entry, paused_ms * MS);
+    site.pause(entry, paused_ms * US_PER_MS);
     Ok(site)
 }
 
@@ -217,7 +245,7 @@
     paused_ms: u64,
 ) -> Result<bool, String> {
     let mut site = call_during_planned_stop(entry, leaving, after_ms, paused_ms)?;
-    site.run(site.now_us + 4 * SECOND)?;
+    site.run(site.now_us + 4 * US_PER_S)?;
     site.check_end()?;
     Ok(site.served() == 41)
 }
@@ -254,13 +282,13 @@
 #[test]
 fn no_hop_waits_for_a_retry_grant_of_an_entry_node_that_is_gone() -> InvariantResult {
     let mut site = call_during_planned_stop(1, 3, 1, 400)?;
-    site.run(site.now_us + 5 * MS)?;
+    site.run(site.now_us + 5 * US_PER_MS)?;
     if site.in_flight() == 0 {
         return Err("no hop waits for the entry node".to_owned());
     }
     site.kill(1);
     // The connection is reported lost 20 ms later, and targets take a few milliseconds to answer.
-    site.run(site.now_us + 60 * MS)?;
+    site.run(site.now_us + 60 * US_PER_MS)?;
     match site.in_flight() {
         0 => Ok(()),
         left => Err(format!("{left} still in flight")),
