--- a/src/call/key.rs
+++ b/src/call/key.rs
@@ -14,7 +14,7 @@
 /// The prefix of every minted key in text form. Caller-supplied keys must not begin with it.
 pub const MINTED_PREFIX: &str = "as1.";
 /// Maximum length of a caller-supplied key, in bytes.
-pub const FOREIGN_MAX_BYTES: usize = 255;
+pub const CALLER_KEY_MAX_BYTES: usize = 255;
 /// The length of a minted key before it is encoded, in bytes: owner, time and nonce.
 const MINTED_BYTES: usize = 24;
 /// The prefix of the table row key of every claim.
@@ -141,7 +141,7 @@
     /// A key that a node minted.
     Minted(Key),
     /// A caller-supplied key. It must be claimed for an owner before it can run.
-    Foreign(&'a str),
+    CallerSupplied(&'a str),
 }
 
 impl<'a> ParsedKey<'a> {
@@ -158,13 +158,13 @@
         if text.is_empty() {
             return Err(KeyTextError::Empty);
         }
-        if text.len() > FOREIGN_MAX_BYTES {
+        if text.len() > CALLER_KEY_MAX_BYTES {
             return Err(KeyTextError::TooLong);
         }
         if !text.bytes().all(|byte| byte.is_ascii_graphic()) {
             return Err(KeyTextError::NotVisibleAscii);
         }
-        Ok(Self::Foreign(text))
+        Ok(Self::CallerSupplied(text))
     }
 }
 
@@ -174,8 +174,8 @@
     /// The key has no characters.
     #[error("an idempotency key has at least one character")]
     Empty,
-    /// The key is longer than `FOREIGN_MAX_BYTES`.
-    #[error("an idempotency key has at most {FOREIGN_MAX_BYTES} characters")]
+    /// The key is longer than `CALLER_KEY_MAX_BYTES`.
+    #[error("an idempotency key has at most {CALLER_KEY_MAX_BYTES} characters")]
     TooLong,
     /// The key contains a space, a control character or a non-ASCII character.
     #[error("an idempotency key consists of visible ASCII characters")]
@@ -192,12 +192,12 @@
 ///
 /// Hashing gives a short row key with safe characters, whatever the caller chose. The length prefix
 /// of the service distinguishes (`ab`, `c`) from (`a`, `bc`).
-pub fn claim_row_key(service: &str, foreign: &str) -> String {
+pub fn claim_row_key(service: &str, caller_key: &str) -> String {
     let hash = Sha256::new()
         .chain_update(CLAIM_HASH_DOMAIN)
         .chain_update((service.len() as u64).to_be_bytes())
         .chain_update(service)
-        .chain_update(foreign)
+        .chain_update(caller_key)
         .finalize();
     format!("{CLAIM_ROW_PREFIX}{}", URL_SAFE_NO_PAD.encode(hash))
 }
--- a/src/node/hop.rs
+++ b/src/node/hop.rs
@@ -73,7 +73,7 @@
     /// The caller sent a minted key, which only the key's owner may run.
     Minted(Key),
     /// The caller supplied a key of its own, which the platform's table binds to an owner.
-    Foreign(String),
+    CallerSupplied(String),
 }
 
 /// What a hop is waiting for.
--- a/src/node/ingress.rs
+++ b/src/node/ingress.rs
@@ -263,7 +263,7 @@
     };
     match ParsedKey::parse(text) {
         Ok(ParsedKey::Minted(key)) => Ok(HopKey::Minted(key)),
-        Ok(ParsedKey::Foreign(text)) => Ok(HopKey::Foreign(text.to_owned())),
+        Ok(ParsedKey::CallerSupplied(text)) => Ok(HopKey::CallerSupplied(text.to_owned())),
         Err(_) => Err(()),
     }
 }
--- a/src/node/sending.rs
+++ b/src/node/sending.rs
@@ -26,7 +26,7 @@
     /// Starts the next attempt of a hop.
     pub(super) fn start_attempt(&mut self, now_us: u64, id: HopId, out: &mut Vec<NodeAction>) {
         let Some(hop) = self.hops.get(&id) else { return };
-        if let HopKey::Foreign(text) = &hop.key {
+        if let HopKey::CallerSupplied(text) = &hop.key {
             let text = text.clone();
             self.claim_key(now_us, id, &text, out);
             return;
--- a/tests/once_key.rs
+++ b/tests/once_key.rs
@@ -1,6 +1,6 @@
 //! Tests the text form of idempotency keys, claim row keys and delegated keys.
 
-use aspenspring::call::key::{FOREIGN_MAX_BYTES, claim_row_key};
+use aspenspring::call::key::{CALLER_KEY_MAX_BYTES, claim_row_key};
 use aspenspring::call::{Key, KeyTextError, NodeId, ParsedKey};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -28,8 +28,8 @@
     fn text_is_never_read_as_two_kinds(text in "(as1\\.)?[ -~]{0,40}") {
         match ParsedKey::parse(&text) {
             Ok(ParsedKey::Minted(key)) => prop_assert_eq!(key.to_string(), text),
-            Ok(ParsedKey::Foreign(foreign)) => {
-                prop_assert_eq!(foreign, text.as_str());
+            Ok(ParsedKey::CallerSupplied(caller_key)) => {
+                prop_assert_eq!(caller_key, text.as_str());
                 prop_assert!(!text.starts_with("as1."));
             }
             Err(error) => prop_assert!(matches!(
@@ -54,7 +54,7 @@
 
 #[test]
 fn invalid_texts_give_distinct_errors() {
-    let long = "k".repeat(FOREIGN_MAX_BYTES + 1);
+    let long = "k".repeat(CALLER_KEY_MAX_BYTES + 1);
     let cases = [
         ("", KeyTextError::Empty),
         (long.as_str(), KeyTextError::TooLong),
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, mpsc};
 use std::time::Duration;
 
-use aspenspring::call::key::{FOREIGN_MAX_BYTES, claim_row_key};
+use aspenspring::call::key::{CALLER_KEY_MAX_BYTES, claim_row_key};
 use aspenspring::call::{NodeId, ParsedKey};
 use aspenspring::duty::store::{
     self, Certainty, Claim, Condition, StoreEvent, StoreHandle, StoreOperation, StoreOptions,
@@ -157,7 +157,7 @@
     assert_ne!(claim_row_key("a", "x"), claim_row_key("b", "x"));
     assert_ne!(claim_row_key("ab", "c"), claim_row_key("a", "bc"));
     assert!(ParsedKey::parse("").is_err());
-    assert!(ParsedKey::parse(&"x".repeat(FOREIGN_MAX_BYTES + 1)).is_err());
+    assert!(ParsedKey::parse(&"x".repeat(CALLER_KEY_MAX_BYTES + 1)).is_err());
 }
 
 #[test]
