--- a/src/call/level.rs
+++ b/src/call/level.rs
@@ -14,8 +14,8 @@
 
 /// The order in which calls are shed: a call whose level is below a node's floor is refused.
 ///
-/// The high byte is the class rank, the low byte a hash of the root request, so that all hops of a
-/// root have the same level and are admitted or refused alike (as in DAGOR, SoCC 2018).
+/// The high byte is the class rank, the low byte a hash of the root request. All hops of a root
+/// therefore have the same level and are admitted or refused alike (as in DAGOR, SoCC 2018).
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/src/configuration/state.rs
+++ b/src/configuration/state.rs
@@ -56,8 +56,8 @@
 const SMALL_SITE_NODES: u64 = 20;
 /// The largest factor by which the read interval of a large site is scaled up.
 const READ_INTERVAL_FACTOR_MAX: u64 = 10;
-/// The rate, per second, of the first reads of a site whose nodes all start at once. The membership
-/// adds as many reads.
+/// The rate, per second, of the first reads of a site whose nodes all start simultaneously. The
+/// membership adds as many reads.
 const SITE_FIRST_READS_PER_S: u64 = 800;
 /// The base of the backoff while the table service is unavailable, in microseconds.
 const BACKOFF_US: u64 = US_PER_S;
--- a/src/configuration/submission.rs
+++ b/src/configuration/submission.rs
@@ -90,7 +90,7 @@
         if let Some(entry) = present.and_then(|accepted| accepted.find(self.id())) {
             return Some(SubmitOutcome::Accepted { version: entry.version });
         }
-        // A table restored from a backup may be older than what is in force.
+        // A table restored from a backup may hold an older version than the one in force.
         let newest = present.into_iter().chain(in_force).max_by_key(|a| a.version());
         if newest.map_or(0, Accepted::version) != self.submit.based_on {
             return Some(SubmitOutcome::Conflict { lost_to: newest.map(|a| a.entry.clone()) });
--- a/src/event.rs
+++ b/src/event.rs
@@ -93,7 +93,7 @@
     }
     /// The node could not start, or stopped after an error.
     101 Critical NodeFailed {
-        /// What went wrong.
+        /// The error.
         detail: String,
     }
     /// A listener is bound.
@@ -142,7 +142,7 @@
     123 Info SlowSenderCut {
         /// Which listener.
         listener: &'static str,
-        /// How many connections were closed at once.
+        /// How many connections were closed together.
         connections: u64,
     }
     /// The node's target announced itself.
@@ -151,7 +151,7 @@
         url: String,
         /// Its service.
         service: String,
-        /// How many calls it can run at once.
+        /// How many calls it can run concurrently.
         slots: u32,
         /// How many connections it accepts.
         connections: u32,
@@ -167,7 +167,7 @@
     202 Warning TargetUnreachable {
         /// Its URL.
         url: String,
-        /// What went wrong.
+        /// The error.
         detail: String,
     }
     /// A connection to another node was established.
@@ -185,7 +185,7 @@
         address: SocketAddr,
         /// Attempts whose outcome has to be queried.
         unsettled: u64,
-        /// What was observed.
+        /// The reason, as observed.
         detail: String,
     }
     /// A node was discovered.
@@ -218,7 +218,7 @@
     400 Error StoreAway {
         /// `table` or `objects`.
         store: &'static str,
-        /// What went wrong.
+        /// The error.
         detail: String,
         /// How long the failed request had waited for its answer, in milliseconds.
         asked_ms: u64,
@@ -245,7 +245,7 @@
         class: ClassRank,
         /// Calls in the queue.
         queued: u32,
-        /// Maximum number of calls running at once.
+        /// Maximum number of calls running concurrently.
         limit: u32,
     }
     /// Calls are no longer shed: the floor of an arm is back at zero.
@@ -348,7 +348,7 @@
     }
     /// Spans could not be delivered to the collector.
     900 Warning CollectorAway {
-        /// What went wrong.
+        /// The error.
         detail: String,
         /// Spans dropped with the failed batch.
         spans: u64,
@@ -382,7 +382,7 @@
     1002 Warning InputRefused {
         /// The kind of input: `heartbeat`, `configuration` or `connection`.
         input: &'static str,
-        /// What is wrong with it.
+        /// The reason.
         detail: String,
     }
     /// The state of the node's target has changed, as far as the node knows.
@@ -393,10 +393,10 @@
         service: String,
         /// `ready`, `cold` or `none`.
         state: &'static str,
-        /// What the node learned it from: `heartbeat`, `farewell`, `refused_connection` or
+        /// The source of the information: `heartbeat`, `farewell`, `refused_connection` or
         /// `other_incarnation`.
         learned_from: &'static str,
-        /// Maximum number of requests running at once.
+        /// Maximum number of requests running concurrently.
         limit: u32,
     }
     /// The node's target crashed while requests were running.
@@ -444,7 +444,7 @@
         waiting: u32,
         /// How long nothing had been received from it, in milliseconds.
         silent_ms: u64,
-        /// What was observed.
+        /// The reason, as observed.
         detail: String,
     }
     /// The node's role in reading configurations from the store has changed.
@@ -468,7 +468,7 @@
         running: u32,
         /// Requests queued for them.
         waiting: u32,
-        /// Maximum number of requests running on them at once.
+        /// Maximum number of requests running on them concurrently.
         limit: u32,
     }
     /// A request received its final answer. Logged if the request was refused, failed, retried or
@@ -540,7 +540,7 @@
         running: u32,
         /// Requests queued for the target at its end.
         waiting: u32,
-        /// Maximum number of requests running on the target at once.
+        /// Maximum number of requests running on the target concurrently.
         limit: u32,
     }
     /// The caller of a request disconnected before it received the answer.
--- a/src/explain/cause.rs
+++ b/src/explain/cause.rs
@@ -64,7 +64,7 @@
         running: u64,
         /// Requests queued for the target.
         waiting: u64,
-        /// Maximum number of requests running at once.
+        /// Maximum number of requests running concurrently.
         limit: u64,
         /// Whether that target, or its node, had only just started.
         has_just_started: bool,
--- a/src/explain/step.rs
+++ b/src/explain/step.rs
@@ -1,4 +1,4 @@
-//! The steps of a request: what each log line about it says of one attempt at one node.
+//! The steps of a request: the outcomes of its attempts at each node, read from log lines.
 
 use std::net::SocketAddr;
 
--- a/src/membership/contact.rs
+++ b/src/membership/contact.rs
@@ -65,8 +65,8 @@
     /// Adds referrals received from a peer.
     pub(super) fn add_referrals(&mut self, referrals: &[SocketAddr], own: SocketAddr) {
         for referral in referrals {
-            let known = *referral == own || self.referrals.contains(referral);
-            if !known && self.referrals.len() < REFERRALS_MAX {
+            let is_known = *referral == own || self.referrals.contains(referral);
+            if !is_known && self.referrals.len() < REFERRALS_MAX {
                 self.referrals.push_back(*referral);
             }
         }
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -128,8 +128,8 @@
                 continue;
             }
             for heartbeat in &group.heartbeats {
-                let known = self.apply_heartbeat(now_us, heartbeat);
-                if !known && wanted.len() < WANTED_MAX {
+                let is_current = self.apply_heartbeat(now_us, heartbeat);
+                if !is_current && wanted.len() < WANTED_MAX {
                     wanted.push(NodeId(heartbeat.node));
                 }
             }
@@ -244,10 +244,10 @@
     fn probe(&mut self, now_us: u64, rng: &mut SmallRng, out: &mut Vec<MembershipAction>) {
         let mut addresses = self.view.lost_addresses();
         addresses.extend(self.contacts.next_referral());
-        let known = self.peer_addresses(|_| true);
+        let known_addresses = self.peer_addresses(|_| true);
         let seeds = self.options.seeds.iter().copied();
         addresses.extend(seeds.filter(|seed| *seed != self.own.peer_address));
-        addresses.retain(|address| !known.contains(address));
+        addresses.retain(|address| !known_addresses.contains(address));
         let Some(to) = addresses.choose(rng) else { return };
         let digest = self.build_digest(now_us, self.interests.tags(), rng);
         self.send(*to, digest, out);
--- a/src/membership/options.rs
+++ b/src/membership/options.rs
@@ -54,7 +54,7 @@
     #[builder(default = 10 * US_PER_S)]
     pub pause_min_us: u64,
     /// The expected number of nodes of the site. The first reads and writes after a start are
-    /// spread accordingly, to not overload the table service when all nodes start at once.
+    /// spread accordingly, which protects the table service when all nodes start simultaneously.
     #[builder(default = 20)]
     pub site_nodes: u32,
     /// Peer addresses to contact when the table service is unavailable.
--- a/src/membership/rows.rs
+++ b/src/membership/rows.rs
@@ -14,9 +14,9 @@
 
 /// How many times longer the read interval is while gossip arrives from peers.
 const READ_INTERVAL_FACTOR: u64 = 4;
-/// The rate, per second, of the first row writes of a site whose nodes all start at once.
+/// The rate, per second, of the first row writes of a site whose nodes all start simultaneously.
 const SITE_WRITES_PER_S: u64 = 200;
-/// The rate, per second, of the first reads of a site whose nodes all start at once. The
+/// The rate, per second, of the first reads of a site whose nodes all start simultaneously. The
 /// configuration adds as many reads.
 const SITE_FIRST_READS_PER_S: u64 = 800;
 /// The approximate rate, per second, of the reads that follow on such a site, when each node reads
@@ -79,7 +79,7 @@
 
 impl RowSchedule {
     /// Creates a schedule whose first requests are due at random times, which spreads the load on
-    /// the table service when all nodes of a site start at once.
+    /// the table service when all nodes of a site start simultaneously.
     pub(super) fn new(
         now_us: u64,
         own_service: &str,
@@ -134,7 +134,8 @@
     }
 
     /// Moves the next write of the node's own row forward because its content changed. The first
-    /// write is not moved, because many nodes may have started and found their targets at once.
+    /// write is not moved, because many nodes may have started and found their targets
+    /// simultaneously.
     pub(super) fn schedule_write(&mut self, now_us: u64, rng: &mut SmallRng) {
         if self.write_backoff.failures > 0 || !self.written_once {
             return;
@@ -300,8 +301,8 @@
     }
 }
 
-/// The time over which the reads of a service are spread on a site whose nodes all start at once,
-/// in microseconds.
+/// The time over which the reads of a service are spread on a site whose nodes all start
+/// simultaneously, in microseconds.
 fn read_spread_us(options: &MembershipOptions) -> u64 {
     u64::from(options.site_nodes) * US_PER_S / SITE_READS_PER_S
 }
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -26,7 +26,7 @@
 struct Tombstone {
     /// Its last heartbeat counter; only a higher one brings the member back.
     beat: u64,
-    /// Whether it left, so that it can never come back.
+    /// Whether it left; if so, it can never come back.
     has_left: bool,
     /// Its peer address.
     address: SocketAddr,
--- a/src/node/event.rs
+++ b/src/node/event.rs
@@ -125,7 +125,7 @@
     TargetAnnounced(Announcement),
     /// The node is to leave.
     Leave {
-        /// What requested it.
+        /// The source of the request.
         asked_by: LeaveRequester,
     },
     /// An operator submitted a configuration.
@@ -136,7 +136,7 @@
     Tick,
 }
 
-/// What requested that a node leave.
+/// The source of a request that a node leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaveRequester {
     /// A signal to the process.
--- a/src/node/hop.rs
+++ b/src/node/hop.rs
@@ -58,7 +58,7 @@
     pub tried: Vec<NodeId>,
     /// The outcomes of the attempts before the current one.
     pub history: AttemptHistory,
-    /// What the hop is waiting for.
+    /// The event that the hop waits for.
     pub state: HopState,
 }
 
@@ -76,7 +76,7 @@
     CallerSupplied(String),
 }
 
-/// What a hop is waiting for.
+/// The event that a hop waits for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HopState {
     /// The first attempt.
--- a/src/node/ingress.rs
+++ b/src/node/ingress.rs
@@ -126,9 +126,9 @@
             return Err(refuse(RefusalReason::Leaving, 0));
         }
         let rules = self.rules.clone();
-        let found =
+        let class =
             rules.class_for(&incoming.service, &incoming.request.method, &incoming.request.path);
-        let Some(class) = found else { return Err(refuse(RefusalReason::Malformed, 0)) };
+        let Some(class) = class else { return Err(refuse(RefusalReason::Malformed, 0)) };
         let key = match hop_key_of(class.at_most_once, incoming.key.as_deref()) {
             Ok(key) => key,
             Err(()) => return Err(refuse(RefusalReason::KeyInvalid, 0)),
--- a/src/node/receiving.rs
+++ b/src/node/receiving.rs
@@ -125,8 +125,8 @@
 
     /// Offers an attempt to the ledger, if it has a key, and then to admission.
     ///
-    /// The ledger comes first, so that a key that has run gets its recorded answer even from a node
-    /// that accepts no new calls.
+    /// The ledger comes first, because even a node that accepts no new calls must return the
+    /// recorded answer of a key that has run.
     fn offer(
         &mut self,
         now_us: u64,
@@ -284,7 +284,7 @@
         let mut decisions = Vec::new();
         match self.admission.cancel(now_us, attempt, &mut decisions) {
             CancelResult::WasQueued => self.apply_decisions(now_us, decisions, out),
-            // An at-most-once call is left to finish, so that its outcome is known.
+            // An at-most-once call continues, because its outcome may be requested later.
             CancelResult::IsRunning if keyed => {}
             CancelResult::IsRunning => {
                 self.abort_running(now_us, attempt, Doubt::Cancelled, out);
@@ -293,7 +293,7 @@
         }
     }
 
-    /// Aborts an attempt at the target and answers it at once, without waiting for the target.
+    /// Aborts an attempt at the target and answers it without waiting for the target.
     fn abort_running(
         &mut self,
         now_us: u64,
--- a/src/node/retrying.rs
+++ b/src/node/retrying.rs
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Starts the backoff before a retry; retries at once if it is 0.
+    /// Starts the backoff before a retry; retries immediately if it is 0.
     pub(super) fn back_off(
         &mut self,
         now_us: u64,
--- a/src/node/sending.rs
+++ b/src/node/sending.rs
@@ -100,9 +100,10 @@
             return Err(Verdict::not_run(RefusalReason::Cancelled, 0));
         };
         if let HopKey::Minted(key) = hop.key {
-            let known = key.owner == self.identity.id || self.router.address(key.owner).is_some();
-            let gone = Verdict::MayHaveRun(Doubt::KeyOwnerGone);
-            return if known { Ok((key.owner, Some(key))) } else { Err(gone) };
+            let is_known =
+                key.owner == self.identity.id || self.router.address(key.owner).is_some();
+            let owner_gone = Verdict::MayHaveRun(Doubt::KeyOwnerGone);
+            return if is_known { Ok((key.owner, Some(key))) } else { Err(owner_gone) };
         }
         let is_per_attempt = hop.key == HopKey::PerAttempt;
         let pick = PickRequest {
@@ -280,8 +281,8 @@
         self.finish_hop(now_us, id, verdict, out);
     }
 
-    /// Cancels the request of a caller that no longer waits. An at-most-once request continues, so
-    /// that its outcome is known when the caller asks again.
+    /// Cancels the request of a caller that no longer waits. An at-most-once request continues,
+    /// because the caller may repeat it to obtain its outcome.
     pub(super) fn on_caller_gone(
         &mut self,
         now_us: u64,
--- a/src/telemetry/metrics/calls.rs
+++ b/src/telemetry/metrics/calls.rs
@@ -106,7 +106,7 @@
     pub running: u32,
     /// Calls in the queue.
     pub queued: u32,
-    /// Maximum number of calls running at once.
+    /// Maximum number of calls running concurrently.
     pub limit: u32,
     /// Calls below this level are refused.
     pub floor: Level,
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -69,7 +69,7 @@
     Options {
         /// The URL as it was given.
         otlp_url: String,
-        /// What is wrong.
+        /// The reason.
         detail: String,
     },
     /// The thread or its runtime could not be created.
