--- a/src/node/cluster.rs
+++ b/src/node/cluster.rs
@@ -1,4 +1,4 @@
-//! Connects membership and configuration to the node.
+//! Passes events from the node to its membership and configuration, and applies their actions.
 
 use std::sync::Arc;
 
@@ -15,8 +15,8 @@
 use crate::duty::store::StoreOperation;
 use crate::event::LogEvent;
 use crate::membership::{
-    ConfigurationMark, Member, MemberState, Membership, MembershipAction, MembershipEvent,
-    MembershipOptions, OwnMember, row_prefix,
+    Member, MemberState, Membership, MembershipAction, MembershipEvent, MembershipOptions,
+    OwnMember, ReportedConfiguration, row_prefix,
 };
 use crate::routing::Peer;
 
@@ -27,14 +27,14 @@
 
 /// The membership of the site and the configuration in force.
 pub(super) struct Cluster {
-    /// The other nodes.
+    /// The known members of the site.
     membership: Membership,
     /// The configuration in force.
     configuration: Configuration,
-    /// Random numbers for both, separate from those for calls.
+    /// Random numbers for membership and configuration, separate from those for calls.
     rng: SmallRng,
-    /// The configuration mark last passed to membership.
-    mark: ConfigurationMark,
+    /// The configuration version last passed to membership.
+    reported: ReportedConfiguration,
 }
 
 impl Cluster {
@@ -68,7 +68,7 @@
             .site_nodes(site_nodes)
             .build();
         let configuration = Configuration::new(now_us, options, build, &mut rng);
-        Self { membership, configuration, rng, mark: ConfigurationMark::default() }
+        Self { membership, configuration, rng, reported: ReportedConfiguration::default() }
     }
 
     /// Whether the node's configuration is current enough to serve.
@@ -98,7 +98,7 @@
 }
 
 impl Node {
-    /// Sends membership and configuration the ticks that are due.
+    /// Runs the timers of membership and configuration that are due.
     pub(super) fn tick_cluster(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
         if self.cluster.membership.next_wake_us() <= now_us {
             self.notify_membership(now_us, MembershipEvent::Tick, out);
@@ -120,7 +120,7 @@
             return;
         }
         self.members_requested_us.insert(service.to_owned(), now_us);
-        self.notify_membership(now_us, MembershipEvent::WantService(service), out);
+        self.notify_membership(now_us, MembershipEvent::TrackService(service), out);
     }
 
     /// Requests the members of the services that the local target is configured to call, before it
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Announces the local target to the site; zeros mean that it is gone.
+    /// Announces the local target to the site; 0 slots mean that the target is gone.
     pub(super) fn announce_target(
         &mut self,
         now_us: u64,
@@ -153,7 +153,8 @@
         self.router.remove(now_us, self.identity.id);
     }
 
-    /// Adds this node to the router for calls to its own service, as long as it has a target.
+    /// Updates the router's entry for this node, which exists while it has a target and is not
+    /// leaving.
     fn update_own_peer(&mut self, now_us: u64, slots: u32) {
         if slots == 0 || self.stop_after_us.is_some() {
             self.router.remove(now_us, self.identity.id);
@@ -171,7 +172,7 @@
         self.router.put(now_us, peer);
     }
 
-    /// Handles a heartbeat reply with the node's load.
+    /// Handles a heartbeat reply, which carries the load of the replying node.
     pub(super) fn on_pong(
         &mut self,
         now_us: u64,
@@ -180,7 +181,7 @@
         out: &mut Vec<NodeAction>,
     ) {
         self.router.heartbeat(now_us, from, load);
-        self.notify_membership(now_us, MembershipEvent::Heard { node: from }, out);
+        self.notify_membership(now_us, MembershipEvent::MessageReceived { node: from }, out);
     }
 
     /// Handles a membership message.
@@ -195,7 +196,7 @@
         bytes: &[u8],
         out: &mut Vec<NodeAction>,
     ) {
-        self.notify_configuration(now_us, ConfigurationEvent::Peer(bytes), out);
+        self.notify_configuration(now_us, ConfigurationEvent::PeerMessage(bytes), out);
     }
 
     /// Handles a configuration submitted by an operator.
@@ -231,7 +232,7 @@
         for action in actions {
             self.apply_configuration_action(now_us, action, out);
         }
-        self.share_configuration_mark(now_us, out);
+        self.report_configuration(now_us, out);
     }
 
     /// Applies an action of membership.
@@ -249,9 +250,10 @@
             MembershipAction::SendGossip { to, bytes } => {
                 out.push(NodeAction::Send { to, message: Message::Gossip(bytes.into()) });
             }
-            MembershipAction::PeerConfiguration { peer, mark } => {
-                let event = PeerVersion { peer, version: mark.version, confirmed: mark.confirmed };
-                self.notify_configuration(now_us, ConfigurationEvent::PeerHas(event), out);
+            MembershipAction::PeerConfiguration { peer, reported } => {
+                let event =
+                    PeerVersion { peer, version: reported.version, confirmed: reported.confirmed };
+                self.notify_configuration(now_us, ConfigurationEvent::PeerVersion(event), out);
             }
             MembershipAction::Superseded { .. } => {
                 self.start_leaving(now_us, LeaveRequester::Successor, out);
@@ -270,10 +272,9 @@
         }
     }
 
-    /// Adds a member to the router for calls to its service, as long as it has a target.
+    /// Updates the router's entry for a member, which exists while the member has a target.
     ///
-    /// A member that has no target yet, or has none for the moment, is only removed from the router.
-    /// It does not count as leaving, which is final.
+    /// A member without a target is not marked as leaving, because leaving is final.
     fn update_peer(&mut self, now_us: u64, member: &Member, out: &mut Vec<NodeAction>) {
         if member.slots == 0 {
             self.router.remove(now_us, member.node);
@@ -308,7 +309,7 @@
         out: &mut Vec<NodeAction>,
     ) {
         match action {
-            ConfigurationAction::SendPeer { to, bytes } => {
+            ConfigurationAction::SendMessage { to, bytes } => {
                 out.push(NodeAction::Send { to, message: Message::Configuration(bytes.into()) });
             }
             ConfigurationAction::InForce { version, rules } => {
@@ -317,11 +318,11 @@
             ConfigurationAction::Submitted { submission, outcome } => {
                 out.push(NodeAction::Submitted { submission, outcome });
             }
-            ConfigurationAction::ReadTable => {
+            ConfigurationAction::ReadRow => {
                 let operation = StoreOperation::ReadRow { key: ROW_KEY.to_owned() };
                 self.send_store_request(StoreRequestPurpose::ConfigurationRead, operation, out);
             }
-            ConfigurationAction::WriteTable { expected, accepted } => {
+            ConfigurationAction::WriteRow { expected, accepted } => {
                 self.write_configuration(expected, &accepted, out);
             }
             // Readiness is checked where it is needed, by `is_ready`.
@@ -347,17 +348,17 @@
         self.log(LogEvent::ConfigInForce { config_version: version, learned_from }, out);
     }
 
-    /// Passes a changed configuration mark to membership, which spreads it to other nodes.
-    fn share_configuration_mark(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
-        let mark = ConfigurationMark {
+    /// Passes a changed configuration version to membership, which reports it to other nodes.
+    fn report_configuration(&mut self, now_us: u64, out: &mut Vec<NodeAction>) {
+        let reported = ReportedConfiguration {
             version: self.cluster.configuration.version(),
             confirmed: self.cluster.configuration.is_confirmed(),
         };
-        if mark == self.cluster.mark {
+        if reported == self.cluster.reported {
             return;
         }
-        self.cluster.mark = mark;
-        self.notify_membership(now_us, MembershipEvent::Configuration(mark), out);
+        self.cluster.reported = reported;
+        self.notify_membership(now_us, MembershipEvent::Configuration(reported), out);
     }
 }
 
--- a/src/node/platform.rs
+++ b/src/node/platform.rs
@@ -35,7 +35,7 @@
     ConfigurationRead,
     /// Write the configuration's row.
     ConfigurationWrite {
-        /// The random number of the submission.
+        /// The random ID of the submission.
         submission: u64,
     },
     /// Claim the key of a hop.
@@ -72,12 +72,12 @@
                 self.on_members_read(now_us, &service, event.outcome, out);
             }
             StoreRequestPurpose::ConfigurationRead => {
-                let read = ConfigurationEvent::TableRead(row_read_result(event.outcome));
+                let read = ConfigurationEvent::RowRead(row_read_result(event.outcome));
                 self.notify_configuration(now_us, read, out);
             }
             StoreRequestPurpose::ConfigurationWrite { submission } => {
                 let write = row_write_result(event.outcome);
-                let written = ConfigurationEvent::TableWritten { submission, write };
+                let written = ConfigurationEvent::RowWritten { submission, write };
                 self.notify_configuration(now_us, written, out);
             }
             StoreRequestPurpose::Claim(hop) => self.on_claim(now_us, hop, event.outcome, out),
@@ -134,7 +134,7 @@
         self.notify_membership(now_us, MembershipEvent::RowsRead { service, rows }, out);
     }
 
-    /// Claims a key of the caller's own format, which binds it to an owner.
+    /// Claims a caller-supplied key, which binds it to an owner.
     pub(super) fn claim_key(
         &mut self,
         now_us: u64,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Handles the answer to the claim of a hop's key.
+    /// Handles the table service's answer to the claim of a hop's key.
     fn on_claim(
         &mut self,
         now_us: u64,
--- a/src/node/sending.rs
+++ b/src/node/sending.rs
@@ -1,4 +1,4 @@
-//! The sending side: attempts, their answers and the end of a hop.
+//! The sending side of a hop: its attempts, their answers and its end.
 
 use crate::call::{
     AnswerFrame, AttemptId, CallFrame, Doubt, Key, KeyLifetime, Message, NodeId, Refusal,
@@ -14,10 +14,10 @@
 use super::note::{self, Note};
 use super::{LocalFrame, Node, TimerKind};
 
-/// How much earlier than the sender's deadline the receiver's deadline is, so that its "not run"
-/// arrives in time.
+/// How much earlier the receiver's deadline is than the sender's, which leaves time for the
+/// receiver's "not run" to arrive.
 const HOP_MARGIN_US: u64 = 3_000;
-/// How long after the first request for a service's members a call waits for one to be known.
+/// How long after the first request for a service's members a call waits for a member.
 const MEMBERS_WAIT_US: u64 = 2 * US_PER_S;
 /// The divisor that gives the weight of one answer in a service's smoothed latency.
 const LATENCY_SMOOTHING_DIVISOR: u64 = 16;
@@ -26,7 +26,7 @@
     /// Starts the next attempt of a hop.
     pub(super) fn start_attempt(&mut self, now_us: u64, id: HopId, out: &mut Vec<NodeAction>) {
         let Some(hop) = self.hops.get(&id) else { return };
-        if let HopKey::Foreign(text) = &hop.key {
+        if let HopKey::CallerSupplied(text) = &hop.key {
             let text = text.clone();
             self.claim_key(now_us, id, &text, out);
             return;
@@ -100,9 +100,10 @@
             return Err(Verdict::not_run(RefusalReason::Cancelled, 0));
         };
         if let HopKey::Minted(key) = hop.key {
-            let known = key.owner == self.identity.id || self.router.address(key.owner).is_some();
-            let gone = Verdict::MayHaveRun(Doubt::KeyOwnerGone);
-            return if known { Ok((key.owner, Some(key))) } else { Err(gone) };
+            let is_known =
+                key.owner == self.identity.id || self.router.address(key.owner).is_some();
+            let owner_gone = Verdict::MayHaveRun(Doubt::KeyOwnerGone);
+            return if is_known { Ok((key.owner, Some(key))) } else { Err(owner_gone) };
         }
         let is_per_attempt = hop.key == HopKey::PerAttempt;
         let pick = PickRequest {
@@ -130,7 +131,7 @@
         let sequence = self.next_sequence();
         let nonce = rand::Rng::random(&mut self.rng);
         let hop = self.hops.get(&id)?;
-        let left_us = hop.deadline_us.saturating_sub(now_us);
+        let remaining_us = hop.deadline_us.saturating_sub(now_us);
         Some(CallFrame {
             attempt: AttemptId { origin: self.identity.id, sequence, nonce },
             root: hop.root,
@@ -139,7 +140,7 @@
             class: hop.class,
             level: hop.level,
             arm: hop.arm,
-            remaining_us: left_us.saturating_sub(HOP_MARGIN_US),
+            remaining_us: remaining_us.saturating_sub(HOP_MARGIN_US),
             depth: hop.depth,
             retry: hop.retries,
             service: hop.service.clone(),
@@ -280,8 +281,8 @@
         self.finish_hop(now_us, id, verdict, out);
     }
 
-    /// Cancels the request of a caller that no longer waits. An at-most-once request continues, so
-    /// that its outcome is known when the caller asks again.
+    /// Cancels the request of a caller that no longer waits. An at-most-once request continues,
+    /// because the caller may repeat it to obtain its outcome.
     pub(super) fn on_caller_gone(
         &mut self,
         now_us: u64,
@@ -382,11 +383,11 @@
             return;
         }
         let Some(hop) = self.hops.get(&id) else { return };
-        let Some(known_us) = self.service_latency_us.get_mut(&hop.service) else {
+        let Some(smoothed_us) = self.service_latency_us.get_mut(&hop.service) else {
             self.service_latency_us.insert(hop.service.clone(), latency_us);
             return;
         };
-        *known_us = *known_us - *known_us / LATENCY_SMOOTHING_DIVISOR
+        *smoothed_us = *smoothed_us - *smoothed_us / LATENCY_SMOOTHING_DIVISOR
             + latency_us / LATENCY_SMOOTHING_DIVISOR;
     }
 
@@ -408,7 +409,7 @@
 
     /// Queues the answer to an attempt that this node sent to itself.
     pub(super) fn answer_local(&mut self, answer: AnswerFrame) {
-        self.local.push_back(LocalFrame::Answer(answer));
+        self.local_frames.push_back(LocalFrame::Answer(answer));
     }
 }
 
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! Simulates nodes that run the real membership and configuration state machines over a lossy
 //! network and a fake table service. Time is simulated, and a run is determined by its seed.
 
-// No test file uses all of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -16,8 +16,8 @@
     PeerVersion, RowRead, RowWrite, Submit, SubmitOutcome, TableRow,
 };
 use aspenspring::membership::{
-    ConfigurationMark, Member, MemberRow, MemberState, Membership, MembershipAction,
-    MembershipEvent, MembershipOptions, OwnMember,
+    Member, MemberRow, MemberState, Membership, MembershipAction, MembershipEvent,
+    MembershipOptions, OwnMember, ReportedConfiguration,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -50,10 +50,11 @@
     pub configuration: Configuration,
     pub up: bool,
     pub paused: bool,
-    /// The state of each member as routing would see it.
+    /// The state of each known member, as reported to routing.
     pub member_states: BTreeMap<NodeId, MemberState>,
-    /// Members that it has ever seen leaving.
+    /// Members that it has ever known as leaving.
     seen_leaving: BTreeSet<NodeId>,
+    /// The configuration versions that came into force, in order.
     pub in_force: Vec<u64>,
     /// The outcomes of submissions, with their IDs.
     pub outcomes: Vec<(u64, SubmitOutcome)>,
@@ -62,7 +63,8 @@
     pub sent_messages: u64,
     pub received_bytes: u64,
     started_us: u64,
-    held: Vec<Delivery>,
+    /// Events that arrived while the node was paused.
+    held_deliveries: Vec<Delivery>,
     wake_us: u64,
 }
 
@@ -78,21 +80,26 @@
 pub struct Fleet {
     pub now_us: u64,
     pub nodes: Vec<Node>,
+    /// The probability that a message is lost.
     pub loss: f64,
+    /// The probability that a message is delivered twice.
     pub duplicates: f64,
     pub table: Table,
     /// The partition of each node. Nodes in different partitions cannot reach each other.
     pub partition_of: Vec<usize>,
     pub member_rows: BTreeMap<String, MemberRow>,
+    /// The row of the accepted configuration.
     pub row: Option<TableRow>,
     pub reads: u64,
     pub writes: u64,
     pub deletes: u64,
     pub wakes: u64,
-    /// When rows were read and written.
+    /// When rows were read.
     pub read_at_us: Vec<u64>,
+    /// When member rows were written.
     pub write_at_us: Vec<u64>,
-    /// Real time spent in the two state machines and events handled, for measurements only.
+    /// Real time spent in the two state machines and the number of events they handled, for
+    /// measurements only.
     pub membership_ns: u64,
     pub membership_events: u64,
     pub configuration_ns: u64,
@@ -203,11 +210,11 @@
             sent_messages: 0,
             received_bytes: 0,
             started_us: self.now_us,
-            held: vec![],
+            held_deliveries: vec![],
             wake_us: u64::MAX,
         });
         for call in calls {
-            self.handle_membership(index, MembershipEvent::WantService(call));
+            self.handle_membership(index, MembershipEvent::TrackService(call));
         }
         self.handle_membership(
             index,
@@ -216,7 +223,7 @@
         index
     }
 
-    /// Lets a node's membership handle an event and carries out the resulting actions.
+    /// Passes an event to a node's membership and carries out the resulting actions.
     pub fn handle_membership(&mut self, index: usize, event: MembershipEvent<'_>) {
         let node = &mut self.nodes[index];
         let mut actions = Vec::new();
@@ -230,7 +237,7 @@
         self.schedule_wake(index);
     }
 
-    /// Lets a node's configuration handle an event and carries out the resulting actions.
+    /// Passes an event to a node's configuration and carries out the resulting actions.
     pub fn handle_configuration(&mut self, index: usize, event: ConfigurationEvent<'_>) {
         let node = &mut self.nodes[index];
         let mut actions = Vec::new();
@@ -247,11 +254,11 @@
             self.run_configuration_action(index, action);
         }
         let node = &self.nodes[index];
-        let mark = ConfigurationMark {
+        let reported = ReportedConfiguration {
             version: node.configuration.version(),
             confirmed: node.configuration.is_confirmed(),
         };
-        self.handle_membership(index, MembershipEvent::Configuration(mark));
+        self.handle_membership(index, MembershipEvent::Configuration(reported));
     }
 
     pub fn submit(&mut self, index: usize, submission: u64, based_on: u64, document: &str) {
@@ -276,7 +283,7 @@
 
     pub fn resume(&mut self, index: usize) {
         self.nodes[index].paused = false;
-        for delivery in std::mem::take(&mut self.nodes[index].held) {
+        for delivery in std::mem::take(&mut self.nodes[index].held_deliveries) {
             self.deliver(index, delivery);
         }
         self.deliver(index, Delivery::Wake);
@@ -308,7 +315,7 @@
             return;
         }
         if self.nodes[index].paused {
-            self.nodes[index].held.push(delivery);
+            self.nodes[index].held_deliveries.push(delivery);
             return;
         }
         match delivery {
@@ -324,7 +331,7 @@
             }
             Delivery::Configuration(bytes) => {
                 self.nodes[index].received_bytes += bytes.len() as u64;
-                self.handle_configuration(index, ConfigurationEvent::Peer(&bytes));
+                self.handle_configuration(index, ConfigurationEvent::PeerMessage(&bytes));
             }
             Delivery::Rows(service, Some(rows)) => {
                 self.handle_membership(
@@ -347,12 +354,12 @@
                 self.handle_membership(index, MembershipEvent::WriteFailed);
             }
             Delivery::Read(read) => {
-                self.handle_configuration(index, ConfigurationEvent::TableRead(read));
+                self.handle_configuration(index, ConfigurationEvent::RowRead(read));
             }
             Delivery::Write(submission, write) => {
                 self.handle_configuration(
                     index,
-                    ConfigurationEvent::TableWritten { submission, write },
+                    ConfigurationEvent::RowWritten { submission, write },
                 );
             }
         }
@@ -407,8 +414,9 @@
             }
             MembershipAction::DeleteRow { key, version } => {
                 self.deletes += 1;
-                let fits = self.member_rows.get(&key).is_some_and(|row| row.version == version);
-                if fits && self.table != Table::Down {
+                let version_matches =
+                    self.member_rows.get(&key).is_some_and(|row| row.version == version);
+                if version_matches && self.table != Table::Down {
                     self.member_rows.remove(&key);
                 }
             }
@@ -436,10 +444,10 @@
             MembershipAction::Gone(node) => {
                 self.nodes[index].member_states.remove(&node);
             }
-            MembershipAction::PeerConfiguration { peer, mark } => {
-                let ConfigurationMark { version, confirmed } = mark;
-                let heard = PeerVersion { peer, version, confirmed };
-                self.handle_configuration(index, ConfigurationEvent::PeerHas(heard));
+            MembershipAction::PeerConfiguration { peer, reported } => {
+                let ReportedConfiguration { version, confirmed } = reported;
+                let peer_version = PeerVersion { peer, version, confirmed };
+                self.handle_configuration(index, ConfigurationEvent::PeerVersion(peer_version));
             }
             MembershipAction::Superseded { .. } => self.nodes[index].superseded = true,
         }
@@ -465,7 +473,7 @@
 
     fn run_configuration_action(&mut self, index: usize, action: ConfigurationAction) {
         match action {
-            ConfigurationAction::ReadTable => {
+            ConfigurationAction::ReadRow => {
                 self.reads += 1;
                 self.read_at_us.push(self.now_us);
                 let read = match (self.table, self.row.clone()) {
@@ -475,11 +483,11 @@
                 };
                 self.reply(index, Delivery::Read(read));
             }
-            ConfigurationAction::WriteTable { expected, accepted } => {
+            ConfigurationAction::WriteRow { expected, accepted } => {
                 let write = self.write_configuration(&accepted, expected);
                 self.reply(index, Delivery::Write(accepted.entry.submission, write));
             }
-            ConfigurationAction::SendPeer { to, bytes } => {
+            ConfigurationAction::SendMessage { to, bytes } => {
                 let length = bytes.len();
                 self.send(index, to, Delivery::Configuration(bytes), length);
             }
