--- a/extra/aspenspring.fish
+++ b/extra/aspenspring.fish
@@ -42,8 +42,8 @@
 end
 
 complete -c aspenspring -n '__fish_aspenspring_using_command' -f -l help -d 'display usage information'
-complete -c aspenspring -n '__fish_aspenspring_using_command' -f -a 'node' -d 'Run the node beside one target until it is asked to leave.'
-complete -c aspenspring -n '__fish_aspenspring_using_command' -f -a 'mesh' -d 'Run the mesh node of one target on the users\' platform until it is signalled to stop. The environment variable `ASPENSPRING_CONFIG` contains the path of its settings file.'
+complete -c aspenspring -n '__fish_aspenspring_using_command' -f -a 'node' -d 'Run the node of one target until it is drained.'
+complete -c aspenspring -n '__fish_aspenspring_using_command' -f -a 'mesh' -d 'Run the mesh node of one target on the users\' platform until it receives a stop signal. The environment variable `ASPENSPRING_CONFIG` contains the path of its settings file.'
 complete -c aspenspring -n '__fish_aspenspring_using_command' -f -a 'check' -d 'Validate settings, rules or a configuration document and report every problem.'
 complete -c aspenspring -n '__fish_aspenspring_using_command' -f -a 'settings' -d 'Print the effective settings with the origin of each value.'
 complete -c aspenspring -n '__fish_aspenspring_using_command' -f -a 'submit' -d 'Submit a configuration for all sites; it is either accepted as a whole or rejected.'
@@ -79,7 +79,7 @@
 complete -c aspenspring -n '__fish_aspenspring_using_command submit' -f -l base -r -d 'the base settings file; its rules are submitted'
 complete -c aspenspring -n '__fish_aspenspring_using_command submit' -f -l site -r -d 'the settings overlay of a site; its rules are submitted; may be repeated'
 complete -c aspenspring -n '__fish_aspenspring_using_command submit' -f -l document -r -d 'a file with a complete document, instead of --base and --site'
-complete -c aspenspring -n '__fish_aspenspring_using_command submit' -f -l drop-site -r -d 'a site in the configuration in force to remove on purpose; may be repeated'
+complete -c aspenspring -n '__fish_aspenspring_using_command submit' -f -l drop-site -r -d 'a site to remove from the configuration in force; may be repeated'
 complete -c aspenspring -n '__fish_aspenspring_using_command submit' -f -l by -r -d 'the name of the submitter (default: the environment variable USER)'
 complete -c aspenspring -n '__fish_aspenspring_using_command submit' -f -l key-env -r -d 'the environment variable that holds the operator key (default: ASPENSPRING_OPERATOR_KEY)'
 complete -c aspenspring -n '__fish_aspenspring_using_command submit' -f -l json -d 'print the outcome as JSON'
@@ -104,7 +104,7 @@
 complete -c aspenspring -n '__fish_aspenspring_using_command compare' -f -l help -d 'display usage information'
 complete -c aspenspring -n '__fish_aspenspring_using_command compare' -f -l run -r -d 'the directory of a run, with records.jsonl as written by `standin load --out` and, for each node, a metrics scrape taken after the run, NAME.prom, and optionally one taken before it, NAME.prom.before; may be repeated'
 complete -c aspenspring -n '__fish_aspenspring_using_command compare' -f -l during -r -d 'count only calls scheduled in this window, such as 10s..20s; recovery time always uses the whole run'
-complete -c aspenspring -n '__fish_aspenspring_using_command compare' -f -l trigger -r -d 'the window in which the overload was triggered, such as 10s..20s; needed for the recovery time'
+complete -c aspenspring -n '__fish_aspenspring_using_command compare' -f -l trigger -r -d 'the window in which the cause of the overload was active, such as 10s..20s; needed for the recovery time'
 complete -c aspenspring -n '__fish_aspenspring_using_command compare' -f -l plot -r -d 'write a plot of goodput over time to this file (SVG)'
 complete -c aspenspring -n '__fish_aspenspring_using_command compare' -f -l json -d 'print a JSON array'
 complete -c aspenspring -n '__fish_aspenspring_using_command explain' -l help -d 'display usage information'
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -52,14 +52,14 @@
 /// The environment variable that holds the operator key if `--key-env` is not given.
 const DEFAULT_KEY_ENV: &str = "ASPENSPRING_OPERATOR_KEY";
 
-/// Overload control for service call graphs, with one node process beside each target.
+/// Overload control for service call graphs, with one node process per target.
 #[derive(Debug, FromArgs, ArgsInfo)]
 #[argh(
     error_code(0, "Success."),
     error_code(1, "Failure, such as a file that cannot be read or a node that does not reply."),
     error_code(2, "Invalid usage or invalid settings."),
-    error_code(3, "Conflict: another version is in force than the change is based on."),
-    error_code(4, "Unknown: a configuration may have been accepted, or may be within seconds."),
+    error_code(3, "Conflict: the version in force is not the one that the change is based on."),
+    error_code(4, "Unknown: a configuration may be accepted, already or within seconds."),
     note = "Pass {command_name} a base settings file first, then the overlays in order.",
     example = "{command_name} check --settings base.json --settings jordan.json --settings node.json"
 )]
@@ -111,7 +111,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
     Success = 0,
-    /// Anything not covered by the other codes, such as an unreadable file or a silent node.
+    /// Anything not covered by the other codes, such as an unreadable file or a node that does
+    /// not reply.
     Failed = 1,
     /// Invalid arguments or settings.
     Usage = 2,
--- a/src/cli/compare.rs
+++ b/src/cli/compare.rs
@@ -24,8 +24,8 @@
     /// whole run
     #[argh(option)]
     pub during: Option<Window>,
-    /// the window in which the overload was triggered, such as 10s..20s; needed for the recovery
-    /// time
+    /// the window in which the cause of the overload was active, such as 10s..20s; needed for the
+    /// recovery time
     #[argh(option)]
     pub trigger: Option<Window>,
     /// write a plot of goodput over time to this file (SVG)
--- a/src/cli/list.rs
+++ b/src/cli/list.rs
@@ -32,13 +32,13 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct Acceptance {
     version: u64,
-    /// Who submitted it; absent for the settings that the node started with.
+    /// The name of the submitter; absent for the settings that the node started with.
     by: Option<String>,
     /// When it was accepted, in milliseconds since the Unix epoch.
     at_unix_ms: Option<u64>,
 }
 
-/// The part of a node's reply to `GET config` that is listed.
+/// The parts of a node's reply to `GET config` that `list` prints.
 #[derive(Debug, Deserialize)]
 struct Config {
     /// The configuration in force.
--- a/src/cli/manual.rs
+++ b/src/cli/manual.rs
@@ -10,7 +10,7 @@
 const DESCRIPTION: &str = "\
 .SH DESCRIPTION
 .B aspenspring
-runs as one node process beside each target VM and decides how calls are retried, admitted,
+runs as one node process next to each target VM and decides how calls are retried, admitted,
 prioritised and refused.
 .PP
 Settings are JSON files: a base file and any number of overlays, each containing only what differs.
--- a/src/cli/node.rs
+++ b/src/cli/node.rs
@@ -7,7 +7,7 @@
 use super::{Exit, load_settings};
 use crate::duty;
 
-/// Run the node beside one target until it is asked to leave.
+/// Run the node of one target until it is drained.
 #[derive(Debug, FromArgs, ArgsInfo)]
 #[argh(subcommand, name = "node")]
 pub struct NodeArgs {
--- a/src/cli/settings.rs
+++ b/src/cli/settings.rs
@@ -34,7 +34,7 @@
     /// The JSON pointer of the value within the effective settings.
     path: &'a str,
     value: &'a Value,
-    /// The file it was read from; absent for a default.
+    /// The file that the value was read from; absent for a default.
     #[serde(skip_serializing_if = "Option::is_none")]
     file: Option<String>,
     /// The JSON pointer of the value within that file; absent for a default.
--- a/src/cli/submit.rs
+++ b/src/cli/submit.rs
@@ -29,7 +29,7 @@
     /// a file with a complete document, instead of --base and --site
     #[argh(option)]
     pub document: Option<PathBuf>,
-    /// a site in the configuration in force to remove on purpose; may be repeated
+    /// a site to remove from the configuration in force; may be repeated
     #[argh(option)]
     pub drop_site: Vec<String>,
     /// the name of the submitter (default: the environment variable USER)
@@ -43,7 +43,7 @@
     pub json: bool,
 }
 
-/// Builds the document, checks that no site is dropped by mistake and submits it.
+/// Builds the document, checks that it omits no site by mistake and submits it.
 pub(super) fn run(args: &SubmitArgs) -> eyre::Result<Exit> {
     let document = match build_document(args)? {
         Some(Ok(document)) => document,
@@ -65,8 +65,8 @@
     match client.put_config(document, args.based_on, &by)? {
         Ok(reply) => report_outcome(args, &reply),
         Err(NoReply::ReplyLost(node)) => {
-            eprintln!("{node} did not reply. The configuration may have been accepted, or may be");
-            eprintln!("within seconds. Run `show` before submitting again.");
+            eprintln!("{node} did not reply. The configuration may have been accepted, or may");
+            eprintln!("still be accepted within seconds. Run `show` before submitting again.");
             Ok(Exit::Unknown)
         }
         Err(error) => Err(error.into()),
@@ -85,7 +85,8 @@
     }
 }
 
-/// The sites in force that the document lacks and `--drop-site` does not name.
+/// The sites in the configuration in force that are neither in the document nor named by
+/// `--drop-site`.
 ///
 /// The nodes of a site that is missing from the document cannot use it and stop serving.
 fn missing_sites(args: &SubmitArgs, document: &str, in_force: &Value) -> eyre::Result<Vec<String>> {
