--- a/src/compare/mod.rs
+++ b/src/compare/mod.rs
@@ -17,10 +17,10 @@
 
 pub use plot::plot;
 pub use run::{Run, RunError};
-pub use scrape::{ArmCounts, Counts};
+pub use scrape::{ArmCounters, CountersByArm};
 pub use spread::Spread;
 
-/// The kind of the group that covers calls of all kinds, and the arm of the one over all arms.
+/// Stands for all kinds of calls where a kind is expected, and for all arms where an arm is.
 const ALL: &str = "all";
 
 /// Options of a comparison.
@@ -29,7 +29,8 @@
     /// Counts only calls scheduled in this window; all calls if absent. The recovery time always
     /// uses the whole run.
     pub during: Option<Window>,
-    /// The window in which the overload was triggered; without it there is no recovery time.
+    /// The window in which the cause of the overload was active; without it there is no recovery
+    /// time.
     pub trigger: Option<Window>,
 }
 
@@ -52,7 +53,8 @@
     pub good_p99_ms: Option<Spread>,
     /// Client attempts per call.
     pub client_attempts: Spread,
-    /// Time from the end of the trigger until goodput has recovered for good, in milliseconds.
+    /// Time from the end of the trigger until goodput has recovered and stays so until the end of
+    /// the run, in milliseconds.
     pub recovery_ms: Option<Spread>,
     /// Runs in which goodput did not recover.
     pub unrecovered: usize,
@@ -123,8 +125,8 @@
     let spread_of_present = |value: fn(&Group) -> Option<f64>| {
         Spread::of(groups.iter().filter_map(|group| value(group)))
     };
-    let counts: Vec<&ArmCounts> = match kind {
-        ALL => runs.iter().filter_map(|run| run.counts.arm(arm)).collect(),
+    let counters: Vec<&ArmCounters> = match kind {
+        ALL => runs.iter().filter_map(|run| run.counters.arm(arm)).collect(),
         _ => Vec::new(),
     };
     let recovered = recovery_times_ms.iter().flatten().map(|recovery_ms| *recovery_ms as f64);
@@ -139,12 +141,12 @@
         client_attempts: spread(|group| group.attempts as f64 / group.offered.max(1) as f64)?,
         recovery_ms: Spread::of(recovered),
         unrecovered: recovery_times_ms.iter().filter(|recovery_ms| recovery_ms.is_none()).count(),
-        attempts_per_root: Spread::of(counts.iter().filter_map(|arm| arm.attempts_per_root())),
-        wasted_share: Spread::of(counts.iter().filter_map(|arm| arm.wasted_share())),
+        attempts_per_root: Spread::of(counters.iter().filter_map(|arm| arm.attempts_per_root())),
+        wasted_share: Spread::of(counters.iter().filter_map(|arm| arm.wasted_share())),
     })
 }
 
-/// Good calls as a share of those due.
+/// Good calls as a share of the scheduled ones.
 fn good_share(group: &Group) -> f64 {
     let good: u64 = group.good_by_bucket.iter().sum();
     good as f64 / group.offered.max(1) as f64
--- a/src/compare/plot.rs
+++ b/src/compare/plot.rs
@@ -6,10 +6,11 @@
 use super::{ALL, Run, Spread};
 use crate::standin::load::{BUCKET_MS, Summary, Window};
 
-/// The size of the plot, in SVG user units, as are the margins.
+/// Width of the plot, in SVG user units.
 const WIDTH: f64 = 960.0;
+/// Height of the plot, in SVG user units.
 const HEIGHT: f64 = 420.0;
-/// Margins around the plot area for the axis labels and the legend.
+/// Margins around the plot area for the axis labels and the legend, in SVG user units.
 const MARGIN_LEFT: f64 = 70.0;
 const MARGIN_RIGHT: f64 = 150.0;
 const MARGIN_TOP: f64 = 30.0;
@@ -22,7 +23,7 @@
 const COLOURS: [&str; 6] = ["#0072b2", "#d55e00", "#009e73", "#cc79a7", "#e69f00", "#56b4e9"];
 
 /// Plots good calls per second over time as SVG: the median over the runs, with the window of the
-/// overload trigger in grey.
+/// trigger in grey.
 ///
 /// # Errors
 ///
--- a/src/compare/run.rs
+++ b/src/compare/run.rs
@@ -5,14 +5,14 @@
 
 use thiserror::Error;
 
-use super::scrape::Counts;
+use super::scrape::CountersByArm;
 use crate::standin::load::{BUCKET_MS, Record, Window};
 
 /// The file with one JSON line per call, as written by `standin load --out`.
 const RECORDS_FILE: &str = "records.jsonl";
 /// The file extension of a metrics scrape taken after the run.
 const SCRAPE_EXTENSION: &str = "prom";
-/// The extension added to the file name of a scrape for the one taken before the run.
+/// The second file extension of a scrape taken before the run, after [`SCRAPE_EXTENSION`].
 const BEFORE_EXTENSION: &str = "before";
 
 /// An error reading a run.
@@ -43,8 +43,8 @@
 pub struct Run {
     /// The outcome of each call.
     pub records: Vec<Record>,
-    /// The counters of all nodes, added up.
-    pub counts: Counts,
+    /// The counters of each arm, summed over the nodes.
+    pub counters: CountersByArm,
 }
 
 impl Run {
@@ -67,10 +67,10 @@
             run.records.push(record);
         }
         for scrape in scrapes(dir)? {
-            run.counts.add(&read(&scrape)?);
+            run.counters.add(&read(&scrape)?);
             let before = scrape.with_extension(format!("{SCRAPE_EXTENSION}.{BEFORE_EXTENSION}"));
             if before.exists() {
-                run.counts.subtract(&read(&before)?);
+                run.counters.subtract(&read(&before)?);
             }
         }
         Ok(run)
@@ -82,7 +82,7 @@
         self.records.iter().filter(|record| range.contains(&record.at_ms)).cloned().collect()
     }
 
-    /// The time over which calls were offered, in milliseconds, rounded up to whole buckets.
+    /// The time over which calls were scheduled, in milliseconds, rounded up to whole buckets.
     pub fn duration_ms(&self) -> u64 {
         let last_ms = self.records.iter().map(|record| record.at_ms).fold(0.0, f64::max);
         (last_ms as u64 / BUCKET_MS + 1) * BUCKET_MS
--- a/src/compare/scrape.rs
+++ b/src/compare/scrape.rs
@@ -7,9 +7,9 @@
 /// The metric label with the name of the arm.
 const ARM_LABEL: &str = "arm";
 
-/// The counters of one arm, added up over the nodes of a site.
+/// The counters of one arm, summed over the nodes of a site.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ArmCounts {
+pub struct ArmCounters {
     /// Root requests: those from external callers.
     pub roots: f64,
     /// Retries that were granted.
@@ -20,7 +20,7 @@
     pub wasted_us: f64,
 }
 
-impl ArmCounts {
+impl ArmCounters {
     /// One plus the retries per root request; `None` without requests.
     pub fn attempts_per_root(&self) -> Option<f64> {
         (self.roots > 0.0).then(|| 1.0 + self.retries / self.roots)
@@ -34,11 +34,11 @@
 
 /// The counters of all arms, by arm name.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Counts(BTreeMap<String, ArmCounts>);
+pub struct CountersByArm(BTreeMap<String, ArmCounters>);
 
-impl Counts {
+impl CountersByArm {
     /// The counters of an arm.
-    pub fn arm(&self, arm: &str) -> Option<&ArmCounts> {
+    pub fn arm(&self, arm: &str) -> Option<&ArmCounters> {
         self.0.get(arm)
     }
 
@@ -58,17 +58,17 @@
             let Some(arm) = sample.label(ARM_LABEL) else {
                 continue;
             };
-            let counts = self.0.entry(arm.to_owned()).or_default();
+            let counters = self.0.entry(arm.to_owned()).or_default();
             let value = factor * sample.value;
             match sample.name {
                 names::CALLS_TOTAL if sample.label("from") == Some("caller") => {
-                    counts.roots += value;
+                    counters.roots += value;
                 }
                 names::RETRIES_TOTAL if sample.label("outcome") == Some("granted") => {
-                    counts.retries += value;
+                    counters.retries += value;
                 }
-                names::TARGET_BUSY_MICROSECONDS_TOTAL => counts.busy_us += value,
-                names::TARGET_WASTED_MICROSECONDS_TOTAL => counts.wasted_us += value,
+                names::TARGET_BUSY_MICROSECONDS_TOTAL => counters.busy_us += value,
+                names::TARGET_WASTED_MICROSECONDS_TOTAL => counters.wasted_us += value,
                 _ => {}
             }
         }
--- a/tests/compare.rs
+++ b/tests/compare.rs
@@ -132,9 +132,9 @@
     calls.call_ended(CallSource::Caller, ClassRank(10), ArmId(3), outcome, 1_000);
     calls.retry_decided("souq-stock", ArmId(3), RetryOutcome::Granted);
     let mut run = run(0.0);
-    run.counts.add(&metrics.render());
-    let counts = run.counts.arm("naive").expect("counts");
-    assert_eq!((counts.roots, counts.retries), (1.0, 1.0));
+    run.counters.add(&metrics.render());
+    let counters = run.counters.arm("naive").expect("counters");
+    assert_eq!((counters.roots, counters.retries), (1.0, 1.0));
 }
 
 #[test]
