--- a/src/replay/attempts.rs
+++ b/src/replay/attempts.rs
@@ -1,4 +1,4 @@
-//! Tracks attempts and root requests in a trace, to detect verdicts that contradict it.
+//! Tracks attempts and root requests during a replay, to detect verdicts that contradict the trace.
 
 use std::collections::{HashMap, HashSet};
 
@@ -8,14 +8,14 @@
 /// The state of all attempts and root requests seen so far.
 #[derive(Default)]
 pub(super) struct AttemptTracker {
-    /// Attempts passed to the target that it ran or may have run.
+    /// Attempts that the target ran or may have run.
     runs: HashMap<AttemptId, Run>,
     /// All attempts passed to the target.
     at_target: HashSet<AttemptId>,
-    /// By root, attempts of external requests that were sent to other nodes and are not known not
-    /// to have run.
+    /// Attempts of external requests that were sent to other nodes, by root. An attempt is removed
+    /// when it is known not to have run.
     possible_runs: HashMap<RootId, HashSet<AttemptId>>,
-    /// The root of each attempt that this node sent or was asked to grant a retry of.
+    /// The root of each attempt that this node sent, or that another node requested a retry of.
     root_by_attempt: HashMap<AttemptId, RootId>,
     /// Extra attempts (retries) sent or granted, by root.
     extra_by_root: HashMap<RootId, u64>,
@@ -25,8 +25,9 @@
 struct Run {
     /// The idempotency key, if any.
     key: Option<String>,
-    /// The trace id, if any. If the caller sent no trace context, it is the id of the root.
-    trace: Option<String>,
+    /// The trace id (W3C Trace Context), if any. It is the id of the root unless the caller sent a
+    /// trace context.
+    trace_id: Option<String>,
 }
 
 impl AttemptTracker {
@@ -37,9 +38,9 @@
         key: Option<&str>,
         traceparent: Option<&str>,
     ) {
-        let trace = traceparent.and_then(|text| text.split('-').nth(1)).map(str::to_owned);
+        let trace_id = traceparent.and_then(|text| text.split('-').nth(1)).map(str::to_owned);
         self.at_target.insert(attempt);
-        self.runs.insert(attempt, Run { key: key.map(str::to_owned), trace });
+        self.runs.insert(attempt, Run { key: key.map(str::to_owned), trace_id });
     }
 
     /// Records how an attempt at the target ended.
@@ -79,12 +80,12 @@
         }
     }
 
-    /// Records that another node asks for one more attempt after `failed`.
+    /// Records that another node requests a retry after the attempt `failed`.
     pub fn retry_requested(&mut self, failed: AttemptId, root: RootId) {
         self.root_by_attempt.insert(failed, root);
     }
 
-    /// Records that another node is granted one more attempt after `failed`.
+    /// Records that another node is granted a retry after the attempt `failed`.
     pub fn retry_granted(&mut self, failed: AttemptId) {
         let Some(root) = self.root_by_attempt.get(&failed) else { return };
         *self.extra_by_root.entry(*root).or_default() += 1;
@@ -107,10 +108,11 @@
 
     /// Whether any attempt of an external request ran or may have run.
     pub fn root_may_have_run(&self, root: RootId) -> bool {
-        let was_sent_on =
+        let may_have_run_elsewhere =
             self.possible_runs.get(&root).is_some_and(|possible_runs| !possible_runs.is_empty());
-        let trace = root.to_string();
-        was_sent_on || self.runs.values().any(|run| run.trace.as_ref() == Some(&trace))
+        let trace_id = root.to_string();
+        may_have_run_elsewhere
+            || self.runs.values().any(|run| run.trace_id.as_ref() == Some(&trace_id))
     }
 
     /// The maximum number of runs with the same key.
--- a/src/replay/expect.rs
+++ b/src/replay/expect.rs
@@ -1,4 +1,4 @@
-//! Expectations that the report of a trace is checked against.
+//! Expectations that the report of a replay is checked against.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
--- a/src/replay/mod.rs
+++ b/src/replay/mod.rs
@@ -23,12 +23,13 @@
 ///
 /// # Errors
 ///
-/// The header is missing or malformed. An error in a later line is returned beside the report.
+/// The header is missing or malformed. An error in a later line is returned together with
+/// the report.
 pub fn replay(text: &str) -> Result<(Report, Option<TraceError>), TraceError> {
     let (header, mut lines) = TraceReader::open(text)?;
     let settings = Arc::new(header.settings.clone());
-    let build = crate::configuration::site_rules(&settings.site);
-    let mut node = Node::new(header.started_us, header.identity, settings.clone(), build);
+    let build_rules = crate::configuration::site_rules(&settings.site);
+    let mut node = Node::new(header.started_us, header.identity, settings.clone(), build_rules);
     let mut builder = ReportBuilder::new(&settings.rules, header.started_us);
     let problem = loop {
         let (at_us, event) = match lines.next_event() {
--- a/src/replay/tally.rs
+++ b/src/replay/tally.rs
@@ -23,7 +23,7 @@
     pub duration_us: u64,
     /// Requests of external callers, by outcome.
     pub callers: OutcomeCounts,
-    /// Those of them in a class with `at_most_once`.
+    /// The requests in `callers` whose class has `at_most_once`.
     pub confirmations: OutcomeCounts,
     /// Requests of external callers that got a complete answer, per second of the trace.
     pub answered_per_s: Vec<u64>,
@@ -38,9 +38,9 @@
     /// The maximum number of target runs with the same idempotency key, not counting runs that the
     /// target certainly did not begin.
     pub runs_per_key_max: u64,
-    /// Attempts sent to other nodes, including extra ones.
+    /// Attempts sent to other nodes, including extra attempts.
     pub sent: u64,
-    /// Extra attempts sent to other nodes: those after the first of a hop.
+    /// Extra attempts (retries) sent to other nodes: those after the first attempt of a hop.
     pub extra_sent: u64,
     /// The maximum number of extra attempts that this node sent or granted for the same root.
     pub extra_per_root_max: u64,
@@ -52,7 +52,7 @@
     pub in_flight: u64,
     /// Answers and target results for attempts that the node did not make in the replay. If not 0,
     /// this program decides or draws random numbers differently from the one that recorded the
-    /// trace, and the other figures mean little.
+    /// trace, and the other figures are not meaningful.
     pub strangers: u64,
     /// Violations of rules that must always hold.
     pub broken: Violations,
@@ -123,7 +123,7 @@
     /// The names of the classes with `at_most_once`.
     at_most_once_classes: Vec<String>,
     /// The source of each request and how often it was answered.
-    tickets: HashMap<Ticket, (RequestSource, u64)>,
+    requests: HashMap<Ticket, (RequestSource, u64)>,
     /// The state of attempts and roots.
     attempts: AttemptTracker,
     digest: Sha256,
@@ -142,7 +142,7 @@
             report: Report::default(),
             started_us,
             at_most_once_classes,
-            tickets: HashMap::new(),
+            requests: HashMap::new(),
             attempts: AttemptTracker::default(),
             digest: Sha256::new(),
         }
@@ -213,12 +213,12 @@
         }
     }
 
-    /// Completes the report; `in_flight` is the number of calls at the end of the trace.
+    /// Completes the report; `in_flight` is the number of calls in flight at the end of the trace.
     pub fn finish(mut self, in_flight: u64) -> Report {
         self.report.in_flight = in_flight;
         self.report.runs_per_key_max = self.attempts.runs_per_key_max();
         self.report.extra_per_root_max = self.attempts.extra_per_root_max();
-        for (_, answers) in self.tickets.values() {
+        for (_, answers) in self.requests.values() {
             self.report.unanswered += u64::from(*answers == 0);
             self.report.broken.answered_twice += u64::from(*answers > 1);
         }
@@ -231,12 +231,12 @@
 
     /// Records a received request.
     fn record_request(&mut self, ticket: Ticket, source: RequestSource) {
-        self.tickets.insert(ticket, (source, 0));
+        self.requests.insert(ticket, (source, 0));
     }
 
     /// Records the answer to a request.
     fn record_reply(&mut self, ticket: Ticket, end: &CallEnd) {
-        let Some((source, answers)) = self.tickets.get_mut(&ticket) else { return };
+        let Some((source, answers)) = self.requests.get_mut(&ticket) else { return };
         *answers += 1;
         match source {
             RequestSource::Key => {}
@@ -265,9 +265,9 @@
     /// Records a request passed to the target.
     fn record_target_call(&mut self, call: &TargetCall) {
         self.report.runs += 1;
-        let added_header = |wanted: &str| {
+        let added_header = |wanted_name: &str| {
             let mut headers = call.added_headers.iter();
-            headers.find(|(name, _)| *name == wanted).map(|(_, value)| value.as_str())
+            headers.find(|(name, _)| *name == wanted_name).map(|(_, value)| value.as_str())
         };
         let key = added_header(header::IDEMPOTENCY_KEY);
         self.attempts.target_started(call.attempt, key, added_header(header::TRACEPARENT));
--- a/src/replay/trace.rs
+++ b/src/replay/trace.rs
@@ -25,7 +25,7 @@
     pub settings: Settings,
 }
 
-/// Any further line: either an event with its time or the end of the recording.
+/// Every line after the header: either an event with its time or the end of the recording.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Line {
@@ -46,7 +46,8 @@
 pub enum End {
     /// The node stopped, and the trace contains every event.
     Complete,
-    /// Events arrived faster than they could be written; all later ones are missing.
+    /// Events arrived faster than they could be written. The trace ends before the first
+    /// lost event.
     Incomplete,
 }
 
@@ -84,7 +85,7 @@
 pub struct TraceReader<'a> {
     /// The remaining lines.
     lines: std::str::Lines<'a>,
-    /// The number of the line read last.
+    /// The number of the line read last, counted from 1.
     line: usize,
     /// The time of the event read last, in microseconds; times must not decrease.
     at_us: u64,
