--- a/src/standin/answer.rs
+++ b/src/standin/answer.rs
@@ -7,7 +7,7 @@
 pub struct Echo {
     /// The HTTP method.
     pub method: String,
-    /// The path below the service, including the query.
+    /// The path without the service name, including the query.
     pub path: String,
     /// The length of the body in bytes.
     pub body_bytes: u64,
@@ -16,7 +16,7 @@
 }
 
 impl Echo {
-    /// The echo of a request; `path` excludes the service.
+    /// The echo of a request; `path` excludes the service name.
     pub fn new(method: &str, path: &str, body: &[u8]) -> Self {
         Self {
             method: method.to_owned(),
--- a/src/standin/bench.rs
+++ b/src/standin/bench.rs
@@ -1,5 +1,5 @@
-//! Measures the latency that nodes add: calls through nodes compared with the same calls sent directly
-//! to targets.
+//! Measures the latency that nodes add, by comparing calls through nodes with the same calls sent
+//! directly to targets.
 //!
 //! Closed loop: each client sends its next call when the last one has ended. Rounds through nodes
 //! and direct rounds alternate, so that other load on the machine affects both.
@@ -38,7 +38,7 @@
     pub rounds: u32,
 }
 
-/// Figures of the calls of one kind, direct or through nodes.
+/// Figures of the direct calls, or of those through nodes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Times {
     /// Calls with a complete and correct answer.
@@ -68,7 +68,7 @@
     pub added_p99_ms: f64,
 }
 
-/// Results of the calls of one kind so far.
+/// Results so far of the direct calls, or of those through nodes.
 #[derive(Debug, Default)]
 struct Samples {
     good_ms: Vec<f64>,
@@ -79,7 +79,7 @@
 ///
 /// # Errors
 ///
-/// When the HTTP client cannot be created.
+/// The HTTP client cannot be created.
 pub async fn run(options: &BenchOptions) -> Result<Vec<Comparison>, reqwest::Error> {
     let http = client(Duration::from_millis(CALL_TIMEOUT_MS))?;
     let mut comparisons = Vec::new();
--- a/src/standin/cli.rs
+++ b/src/standin/cli.rs
@@ -20,11 +20,11 @@
 use super::target::{Target, TargetSettings};
 use super::{Server, collector, platform};
 
-/// How long a target that is stopped waits for running calls.
+/// How long a stopped target waits for running calls, in milliseconds.
 const DRAIN_TIMEOUT_MS: u64 = 10_000;
 
-/// run a small stand-in for part of a site's surroundings: the platform's services, targets, callers
-/// or the trace collector
+/// run a stand-in for one of the systems around a site: a service of the platform, a target, a
+/// caller or the trace collector
 #[derive(FromArgs, ArgsInfo, Debug, PartialEq)]
 #[argh(subcommand, name = "standin")]
 pub struct StandinArgs {
@@ -45,9 +45,9 @@
     Target(TargetArgs),
     /// The trace collector.
     Collector(CollectorArgs),
-    /// An outside caller that makes one call.
+    /// An external caller that makes one call.
     Fetch(FetchArgs),
-    /// A load generator of outside callers.
+    /// A load generator that acts as external callers.
     Load(LoadArgs),
     /// A benchmark of calls through nodes against direct calls.
     Bench(BenchArgs),
@@ -57,7 +57,7 @@
 #[derive(FromArgs, ArgsInfo, Debug, PartialEq)]
 #[argh(subcommand, name = "table")]
 pub struct TableArgs {
-    /// where to listen, as ip:port
+    /// address to listen on, as ip:port
     #[argh(option)]
     pub listen: SocketAddr,
 }
@@ -66,7 +66,7 @@
 #[derive(FromArgs, ArgsInfo, Debug, PartialEq)]
 #[argh(subcommand, name = "objects")]
 pub struct ObjectsArgs {
-    /// where to listen, as ip:port
+    /// address to listen on, as ip:port
     #[argh(option)]
     pub listen: SocketAddr,
 }
@@ -75,7 +75,7 @@
 #[derive(FromArgs, ArgsInfo, Debug, PartialEq)]
 #[argh(subcommand, name = "collector")]
 pub struct CollectorArgs {
-    /// where to listen, as ip:port
+    /// address to listen on, as ip:port
     #[argh(option)]
     pub listen: SocketAddr,
 }
@@ -87,64 +87,64 @@
     /// the service that the target belongs to
     #[argh(option)]
     pub service: String,
-    /// the target's name in its answers (its address)
+    /// the target's name in its answers (default: its address)
     #[argh(option)]
     pub name: Option<String>,
-    /// where to listen, as ip:port
+    /// address to listen on, as ip:port
     #[argh(option)]
     pub listen: SocketAddr,
-    /// address on which the node accepts targets (target_listen), as ip:port
+    /// address on which the node accepts the target (target_listen), as ip:port
     #[argh(option)]
     pub node: Option<SocketAddr>,
-    /// number of calls that run at once (32)
+    /// maximum number of calls that run at once (default: 32)
     #[argh(option, default = "32")]
     pub slots: u32,
     /// dedicated slots by policy arm, as arm=slots,arm=slots; other arms share --slots
     #[argh(option, default = "ArmSlots::default()")]
     pub lane_slots: ArmSlots,
-    /// number of calls that may wait for a slot (10000)
+    /// maximum number of calls that wait for a slot (default: 10000)
     #[argh(option, default = "10_000")]
     pub queue_max: u32,
-    /// number of connections that the target announces to accept (1000)
+    /// maximum number of connections that the target announces (default: 1000)
     #[argh(option, default = "1_000")]
     pub connections: u32,
-    /// mean service time of a call without its own calls, in milliseconds (5)
+    /// mean service time of a call without its child calls, in milliseconds (default: 5)
     #[argh(option, default = "5.0")]
     pub service_ms: f64,
-    /// seed of the random service times (1)
+    /// seed of the random service times (default: 1)
     #[argh(option, default = "1")]
     pub seed: u64,
-    /// services that are called while serving each call, as a,b,c
+    /// services to which each call makes child calls, as a,b,c
     #[argh(option, default = "NameList::default()")]
     pub calls: NameList,
-    /// call these services concurrently instead of in sequence
+    /// make the child calls concurrently instead of in sequence
     #[argh(switch)]
     pub parallel: bool,
-    /// how long the target works slowly after its start, in milliseconds (0)
+    /// how long after its start the target serves calls slowly, in milliseconds (default: 0)
     #[argh(option, default = "0")]
     pub cold_ms: u64,
 }
 
-/// make one call as an outside caller; fails unless the answer is complete and correct
+/// make one call as an external caller; fails unless the answer is complete and correct
 #[derive(FromArgs, ArgsInfo, Debug, PartialEq)]
 #[argh(subcommand, name = "fetch")]
 pub struct FetchArgs {
     /// the URL: http://caller_listen/service/path
     #[argh(option)]
     pub url: Url,
-    /// the HTTP method (GET)
+    /// the HTTP method (default: GET)
     #[argh(option, default = "Method::GET")]
     pub method: Method,
-    /// the body (empty)
+    /// the body (default: empty)
     #[argh(option, default = "String::new()")]
     pub body: String,
     /// a header as name=value; may be repeated
     #[argh(option)]
     pub header: Vec<String>,
-    /// least depth of the answer, in services (1)
+    /// minimum depth of the answer, in services (default: 1)
     #[argh(option, default = "1")]
     pub depth: usize,
-    /// timeout in milliseconds (10000)
+    /// timeout in milliseconds (default: 10000)
     #[argh(option, default = "10_000")]
     pub timeout_ms: u64,
 }
@@ -210,7 +210,7 @@
     Ok(())
 }
 
-/// Runs a target, and drains it when it is told to stop.
+/// Runs a target until SIGINT or SIGTERM, then drains it.
 fn run_target(runtime: &tokio::runtime::Runtime, args: &TargetArgs) -> Result<()> {
     let settings = TargetSettings::builder()
         .service(&args.service)
--- a/src/standin/cli/bench.rs
+++ b/src/standin/cli/bench.rs
@@ -25,10 +25,10 @@
     /// number of concurrent clients; may be repeated
     #[argh(option)]
     pub concurrent: Vec<usize>,
-    /// duration of a round in milliseconds (2000)
+    /// duration of a round in milliseconds (default: 2000)
     #[argh(option, default = "2_000")]
     pub round_ms: u64,
-    /// number of rounds through nodes, and of direct rounds (3)
+    /// number of rounds through nodes, and of direct rounds (default: 3)
     #[argh(option, default = "3")]
     pub rounds: u32,
     /// print the comparisons in JSON
--- a/src/standin/cli/load.rs
+++ b/src/standin/cli/load.rs
@@ -28,32 +28,34 @@
     /// repeated
     #[argh(option)]
     pub call: Vec<CallKind>,
-    /// a phase, RATE:TIME, as 120:10s (calls per second) or 0.5x:10s (times the capacity); may be
-    /// repeated
+    /// a phase, RATE:TIME, such as 120:10s (calls per second) or 0.5x:10s (times the capacity); may
+    /// be repeated
     #[argh(option)]
     pub phase: Vec<Phase>,
-    /// the capacity in calls per second (100)
+    /// the capacity in calls per second (default: 100)
     #[argh(option, default = "100.0")]
     pub capacity: f64,
-    /// deadline of each call, in milliseconds (1000)
+    /// deadline of each call, in milliseconds (default: 1000)
     #[argh(option, default = "1_000")]
     pub deadline_ms: u64,
-    /// least depth of a complete answer, in services (1)
+    /// minimum depth of a complete answer, in services (default: 1)
     #[argh(option, default = "1")]
     pub depth: usize,
-    /// maximum number of retries of a call that got no complete answer (0)
+    /// maximum number of retries of a call that got no complete answer (default: 0)
     #[argh(option, default = "0")]
     pub retries: u32,
     /// clients retry only calls that did not run, and honour retry-after
     #[argh(switch)]
     pub polite: bool,
-    /// a request to post at a scheduled time, 'TIME URL BODY', such as a fault; may be repeated
+    /// a request to post at a scheduled time, 'TIME URL BODY', for example to inject a fault; may
+    /// be repeated
     #[argh(option)]
     pub at: Vec<ScheduledPost>,
-    /// when the cause of overload is present, as 10s..20s; recovery time counts from its end
+    /// the window in which the cause of the overload is active, such as 10s..20s; recovery time
+    /// counts from its end
     #[argh(option)]
     pub trigger: Option<Window>,
-    /// seed of the arrival times and kinds (1)
+    /// seed of the arrival times and kinds (default: 1)
     #[argh(option, default = "1")]
     pub seed: u64,
     /// file to which a line of JSON is written for each call
--- a/src/standin/client.rs
+++ b/src/standin/client.rs
@@ -4,10 +4,10 @@
 
 use reqwest::{Client, redirect, retry};
 
-/// Connect timeout.
+/// Connect timeout in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
-/// How long idle connections are kept. Shorter than the server's keep-alive of 5 s, so that the client
-/// closes them first.
+/// How long idle connections are kept, in milliseconds. Shorter than the server's keep-alive of
+/// 5 s, so that the client closes them first.
 const POOL_IDLE_MS: u64 = 4_000;
 
 /// Creates a client that never retries a request, follows no redirects and ignores proxy settings.
--- a/src/standin/collector.rs
+++ b/src/standin/collector.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// The items of an array field; empty where the field is absent or no array.
+/// The items of an array field; empty if the field is absent or not an array.
 fn list<'a>(value: &'a Value, field: &str) -> &'a [Value] {
     value[field].as_array().map_or(&[], Vec::as_slice)
 }
--- a/src/standin/faulty_body.rs
+++ b/src/standin/faulty_body.rs
@@ -13,8 +13,8 @@
 /// has not sent yet when a body ends early.
 const FLUSH_MS: u64 = 20;
 
-/// A body that ends the task that sends the response, so that the server closes the connection
-/// without a byte.
+/// A body that unwinds the task that sends the response, so that the server closes the connection
+/// without sending a byte.
 ///
 /// Rocket offers no other way to drop a connection from a handler. It determines the size of a body
 /// of unknown length by seeking, before it sends the status line.
--- a/src/standin/fetch.rs
+++ b/src/standin/fetch.rs
@@ -13,12 +13,12 @@
 /// Status of every successful answer of a stand-in target.
 const OK: u16 = 200;
 
-/// A call of an outside caller to a stand-in target, through a node or directly.
+/// A call of an external caller to a stand-in target, through a node or directly.
 #[derive(Clone, Debug)]
 pub struct Fetch {
     /// The HTTP method.
     pub method: Method,
-    /// The node's `caller_listen` (or the target's address), the service and the path.
+    /// The URL: the node's `caller_listen` (or the target's address), the service and the path.
     pub url: Url,
     /// Whether the URL points to a target. The service is then removed from the path that is sent.
     pub is_direct: bool,
@@ -77,13 +77,13 @@
     /// The response has an error status.
     #[error("{0}")]
     Status(HttpResponse),
-    /// The response is not an answer of a target, or one to another call.
+    /// The response is not an answer of a target, or belongs to another call.
     #[error("the answer is incomplete or does not belong to this call: {0}")]
     InvalidAnswer(HttpResponse),
 }
 
 impl Fetch {
-    /// The service called and the echo expected in its answer; none if the path has no service.
+    /// The service called and the echo expected in its answer; `None` if the path has no service.
     pub fn expected(&self) -> Option<(String, Echo)> {
         let mut path = self.url.path().to_owned();
         if let Some(query) = self.url.query() {
--- a/src/standin/load/call.rs
+++ b/src/standin/load/call.rs
@@ -7,16 +7,16 @@
 use super::phase::{ParseError, parse_ms};
 
 /// Placeholder for the number of the call in a path.
-const NUMBER: &str = "{n}";
+const NUMBER_PLACEHOLDER: &str = "{n}";
 
 /// Where the idempotency key of a call comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeySource {
     /// The call has no key.
     None,
-    /// The load program generates the key.
-    LoadProgram,
-    /// The load program requests a key from a node before the call.
+    /// The load generator generates the key.
+    LoadGenerator,
+    /// The load generator requests a key from a node before the call.
     Node,
 }
 
@@ -44,7 +44,7 @@
 
     /// The path of one call, including the service.
     pub fn path_for(&self, number: u64) -> String {
-        self.path.replace(NUMBER, &number.to_string())
+        self.path.replace(NUMBER_PLACEHOLDER, &number.to_string())
     }
 }
 
@@ -52,7 +52,7 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let expected = "NAME WEIGHT METHOD /SERVICE/PATH [own|minted], as \
+        let expected = "NAME WEIGHT METHOD /SERVICE/PATH [own|minted], such as \
                       'browse 80 GET /souq-catalogue/pages/{n}'";
         let error = || ParseError::new(text, expected);
         let mut words = text.split_whitespace();
@@ -62,7 +62,7 @@
         let path = words.next().ok_or_else(error)?.to_owned();
         let key = match words.next() {
             None => KeySource::None,
-            Some("own") => KeySource::LoadProgram,
+            Some("own") => KeySource::LoadGenerator,
             Some("minted") => KeySource::Node,
             Some(_) => return Err(error()),
         };
--- a/src/standin/load/client.rs
+++ b/src/standin/load/client.rs
@@ -13,7 +13,8 @@
 use super::record::{Outcome, Record};
 use crate::standin::fetch::{Fetch, FetchError, HttpResponse};
 
-/// How long after the deadline a client still waits for a response, which carries the verdict.
+/// How long after the deadline a client still waits for a response with the verdict, in
+/// milliseconds.
 const VERDICT_GRACE_MS: u64 = 250;
 
 /// State shared by all calls of a run.
@@ -23,18 +24,18 @@
     pub(super) http: Client,
     /// The options of the run.
     pub(super) options: LoadOptions,
-    /// Random part of generated idempotency keys, which keeps them apart from those of other runs.
+    /// Random part of generated idempotency keys, which makes them differ from those of other runs.
     pub(super) run_id: u64,
 }
 
-/// A call with the time at which it is due.
+/// A call with its scheduled time.
 #[derive(Clone, Debug)]
 pub(super) struct ScheduledCall {
     /// Number of the call in the run, from 0.
     pub(super) number: u64,
     /// Index of the kind in [`LoadOptions::calls`].
     pub(super) kind: usize,
-    /// Due time in milliseconds since the start of the run.
+    /// Scheduled time in milliseconds since the start of the run.
     pub(super) at_ms: f64,
     /// The same time as an instant.
     pub(super) at: Instant,
@@ -98,16 +99,16 @@
         }
     }
 
-    /// The node for a call number plus attempt index; nodes take turns.
+    /// Selects a node in turn; `number` is the call number plus the number of earlier attempts.
     fn node_url(&self, number: u64) -> &Url {
         &self.options.nodes[(number % self.options.nodes.len() as u64) as usize]
     }
 
-    /// The key of a call; none where its kind has none or the node did not issue one.
+    /// The key of a call; `None` if its kind has no key or the node did not issue one.
     async fn idempotency_key(&self, kind: &CallKind, number: u64) -> Option<String> {
         match kind.key {
             KeySource::None => None,
-            KeySource::LoadProgram => Some(format!("load-{:016x}-{number}", self.run_id)),
+            KeySource::LoadGenerator => Some(format!("load-{:016x}-{number}", self.run_id)),
             KeySource::Node => {
                 let path = format!("/_aspenspring/keys/{}", kind.service());
                 let url = self.node_url(number).join(&path).ok()?;
@@ -117,8 +118,8 @@
         }
     }
 
-    /// Makes one attempt and stores its outcome in `record`. Returns how long to wait before a retry,
-    /// as told by the response.
+    /// Makes one attempt and stores its outcome in `record`. Returns how long to wait before a
+    /// retry, from the header `retry-after` of the response.
     async fn attempt(
         &self,
         kind: &CallKind,
--- a/src/standin/load/mod.rs
+++ b/src/standin/load/mod.rs
@@ -1,4 +1,4 @@
-//! A small open-loop load generator: calls start at scheduled times, independent of the progress of
+//! An open-loop load generator: calls start at scheduled times, independent of the progress of
 //! earlier ones.
 
 mod call;
@@ -36,9 +36,9 @@
 /// An error before the start of a run.
 #[derive(Debug, Error)]
 pub enum LoadError {
-    /// The options lack nodes, kinds of calls or phases.
+    /// The options have no nodes, no kinds of calls or no phases.
     #[error("at least one node, one kind of calls and one phase are needed")]
-    Nothing,
+    IncompleteOptions,
     /// The HTTP client could not be created.
     #[error("cannot create the HTTP client")]
     Client(#[from] reqwest::Error),
@@ -52,7 +52,7 @@
     records: mpsc::UnboundedSender<Record>,
 ) -> Result<(), LoadError> {
     if options.nodes.is_empty() || options.calls.is_empty() || options.phases.is_empty() {
-        return Err(LoadError::Nothing);
+        return Err(LoadError::IncompleteOptions);
     }
     let http = client(Duration::from_millis(REQUEST_TIMEOUT_MS))?;
     let start = Instant::now();
@@ -99,15 +99,16 @@
     }
 }
 
-/// The arrivals of a run in order of time: a Poisson process with one rate for each phase.
+/// The arrivals of a run in chronological order: a Poisson process with one rate for each phase.
 struct Arrivals {
-    /// End of each phase in milliseconds, with its rate in calls per second.
+    /// End of each phase in milliseconds since the start of the run, with its rate in calls per
+    /// second.
     phases: Vec<(f64, f64)>,
     /// Cumulative weights of the kinds.
-    weights: Vec<f64>,
+    cumulative_weights: Vec<f64>,
     /// Random generator of gaps and kinds.
     random: SmallRng,
-    /// Due time of the last call, in milliseconds.
+    /// Scheduled time of the last call, in milliseconds since the start of the run.
     at_ms: f64,
     /// The number of the next call.
     number: u64,
@@ -121,17 +122,18 @@
             end_ms += phase.duration_ms as f64;
             phases.push((end_ms, phase.rate.per_second(options.capacity_per_s)));
         }
-        let mut weights = Vec::new();
+        let mut cumulative_weights = Vec::new();
         let mut sum = 0.0;
         for call in &options.calls {
             sum += call.weight;
-            weights.push(sum);
+            cumulative_weights.push(sum);
         }
         let random = SmallRng::seed_from_u64(options.seed);
-        Self { phases, weights, random, at_ms: 0.0, number: 0 }
+        Self { phases, cumulative_weights, random, at_ms: 0.0, number: 0 }
     }
 
-    /// The next call: its number, the index of its kind, and its due time in milliseconds.
+    /// The next call: its number, the index of its kind, and its scheduled time in milliseconds
+    /// since the start of the run.
     fn next(&mut self) -> Option<(u64, usize, f64)> {
         // The gap is drawn at unit rate and consumed at the rate of each phase that it spans.
         let mut gap = -(1.0 - self.random.random::<f64>()).ln();
@@ -156,8 +158,8 @@
 
     /// Draws the index of a kind in proportion to the weights.
     fn draw_kind(&mut self) -> usize {
-        let total = self.weights.last().copied().unwrap_or(0.0);
+        let total = self.cumulative_weights.last().copied().unwrap_or(0.0);
         let drawn = self.random.random::<f64>() * total;
-        self.weights.iter().position(|sum| drawn < *sum).unwrap_or(0)
+        self.cumulative_weights.iter().position(|sum| drawn < *sum).unwrap_or(0)
     }
 }
--- a/src/standin/load/options.rs
+++ b/src/standin/load/options.rs
@@ -21,10 +21,10 @@
     /// Deadline of each call, in milliseconds.
     #[builder(default = 1_000)]
     pub deadline_ms: u64,
-    /// Least depth of a complete answer, in services.
+    /// Minimum depth of a complete answer, in services.
     #[builder(default = 1)]
     pub depth: usize,
-    /// Maximum number of retries of a call that got no complete answer.
+    /// Maximum number of retries of each call that got no complete answer.
     #[builder(default)]
     pub retries: u32,
     /// Whether clients retry only calls that did not run and honour `retry-after`; otherwise they
@@ -37,7 +37,8 @@
     /// Requests posted at scheduled times.
     #[builder(default)]
     pub scheduled_posts: Vec<ScheduledPost>,
-    /// When the cause of overload is present; the recovery time counts from its end.
+    /// The window in which the cause of the overload is active; the recovery time counts from its
+    /// end.
     pub trigger: Option<Window>,
     /// Seed of the arrival times and kinds.
     #[builder(default = 1)]
--- a/src/standin/load/phase.rs
+++ b/src/standin/load/phase.rs
@@ -1,4 +1,4 @@
-//! Phases of a load run, and time spans read from text.
+//! Phases and time windows of a load run, and their text forms.
 
 use std::str::FromStr;
 
@@ -65,7 +65,8 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let expected = "RATE:TIME, as 120:10s (calls a second) or 0.5x:10s (times the capacity)";
+        let expected =
+            "RATE:TIME, such as 120:10s (calls per second) or 0.5x:10s (times the capacity)";
         let error = || ParseError::new(text, expected);
         let (rate, time) = text.split_once(':').ok_or_else(error)?;
         let number = rate.strip_suffix('x').unwrap_or(rate);
@@ -73,8 +74,8 @@
         if !value.is_finite() || value < 0.0 {
             return Err(error());
         }
-        let times = rate.ends_with('x');
-        let rate = if times { Rate::TimesCapacity(value) } else { Rate::PerSecond(value) };
+        let is_multiple = rate.ends_with('x');
+        let rate = if is_multiple { Rate::TimesCapacity(value) } else { Rate::PerSecond(value) };
         Ok(Self { rate, duration_ms: parse_ms(time)? })
     }
 }
@@ -83,7 +84,7 @@
     type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, ParseError> {
-        let error = || ParseError::new(text, "FROM..TO, as 10s..20s");
+        let error = || ParseError::new(text, "FROM..TO, such as 10s..20s");
         let (from, to) = text.split_once("..").ok_or_else(error)?;
         let (from_ms, to_ms) = (parse_ms(from)?, parse_ms(to)?);
         if from_ms >= to_ms {
@@ -95,7 +96,7 @@
 
 /// Parses a duration such as `1.5s` or `200ms` into milliseconds.
 pub(super) fn parse_ms(text: &str) -> Result<u64, ParseError> {
-    let error = || ParseError::new(text, "a time, as 1.5s or 200ms");
+    let error = || ParseError::new(text, "a time, such as 1.5s or 200ms");
     let (number, factor) = match text.strip_suffix("ms") {
         Some(number) => (number, 1.0),
         None => (text.strip_suffix('s').ok_or_else(error)?, MS_PER_S),
--- a/src/standin/load/record.rs
+++ b/src/standin/load/record.rs
@@ -25,7 +25,7 @@
 /// The record of one call, over all attempts of its client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Due time of the call, in milliseconds since the start of the run.
+    /// Scheduled time of the call, in milliseconds since the start of the run.
     pub at_ms: f64,
     /// Name of the kind of the call.
     pub kind: String,
@@ -37,7 +37,7 @@
     pub status: u16,
     /// Verdict in the last response; empty if none.
     pub verdict: String,
-    /// Time from the due time to the end of the last attempt, in milliseconds.
+    /// Time from the scheduled time to the end of the last attempt, in milliseconds.
     pub took_ms: f64,
     /// Number of attempts of the client.
     pub attempts: u32,
--- a/src/standin/load/recovery.rs
+++ b/src/standin/load/recovery.rs
@@ -1,27 +1,29 @@
-//! Measures how long goodput takes to recover after the cause of overload is gone.
+//! Measures how long goodput takes to recover after the cause of an overload has ended.
 
 use super::phase::Window;
 
 /// The width of a bucket, in milliseconds.
 pub const BUCKET_MS: u64 = 100;
-/// Buckets over which the good share is averaged, so that single calls do not decide.
+/// Number of buckets over which the good share is averaged, so that single calls have little
+/// effect.
 const SPAN_BUCKETS: usize = 5;
 /// Fraction of the good share before the trigger at which goodput counts as recovered.
 const RECOVERED_SHARE: f64 = 0.95;
-/// Start of the run that does not count in the good share before the trigger, in milliseconds.
+/// Period at the start of the run that is excluded from the good share before the trigger, in
+/// milliseconds.
 const WARM_UP_MS: u64 = 1_000;
 
-/// Calls counted by due time.
+/// Numbers of calls by scheduled time, in buckets of [`BUCKET_MS`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Series {
-    /// Calls due in each bucket.
+    /// Calls scheduled in each bucket.
     pub offered: Vec<u64>,
-    /// Calls due in each bucket whose outcome was good.
+    /// Good calls among those scheduled in each bucket.
     pub good: Vec<u64>,
 }
 
 impl Series {
-    /// Counts a call.
+    /// Counts a call that is scheduled at `at_ms` since the start of the run.
     pub fn record(&mut self, at_ms: f64, is_good: bool) {
         let bucket = (at_ms.max(0.0) as u64 / BUCKET_MS) as usize;
         if self.offered.len() <= bucket {
@@ -32,7 +34,7 @@
         self.good[bucket] += u64::from(is_good);
     }
 
-    /// The share of good calls in the buckets `from..to`; none without calls.
+    /// The share of good calls in the buckets `from..to`; `None` without calls.
     fn good_share(&self, from: usize, to: usize) -> Option<f64> {
         let to = to.min(self.offered.len());
         if from >= to {
@@ -53,8 +55,9 @@
     /// value before the trigger and stays there until the end of the run.
     ///
     /// Shares are compared instead of counts, so that random variation of arrivals cancels out; the
-    /// offered rate must be the same before and after the trigger. None where goodput does not
-    /// recover, or where either side has no calls.
+    /// offered rate must be the same before and after the trigger. `None` if goodput does not
+    /// recover, if no calls before the trigger were good, or if the run ends less than 500 ms after
+    /// the trigger.
     pub fn recovery_ms(&self, trigger: Window) -> Option<u64> {
         let required_share = self.share_before(trigger)? * RECOVERED_SHARE;
         let end = bucket_index(trigger.to_ms);
--- a/src/standin/load/summary.rs
+++ b/src/standin/load/summary.rs
@@ -16,9 +16,9 @@
 pub struct Group {
     /// Name of the kind, or `all`.
     pub kind: String,
-    /// Name of the policy arm, or `all`; empty where no response named one.
+    /// Name of the policy arm, or `all`; empty for calls whose responses named no arm.
     pub arm: String,
-    /// Number of calls due.
+    /// Number of scheduled calls.
     pub offered: u64,
     /// Number of calls by outcome.
     pub outcomes: BTreeMap<Outcome, u64>,
@@ -32,18 +32,19 @@
     pub good_p99_ms: Option<f64>,
     /// Share of good calls before the trigger.
     pub share_before: Option<f64>,
-    /// Time from the end of the trigger until goodput has recovered for good, in milliseconds.
+    /// Time from the end of the trigger until goodput has recovered and stays so until the end of
+    /// the run, in milliseconds.
     pub recovery_ms: Option<u64>,
-    /// Calls due in each bucket of 100 ms.
+    /// Calls scheduled in each bucket of 100 ms.
     pub offered_by_bucket: Vec<u64>,
-    /// Good calls among those due in each bucket.
+    /// Good calls among those scheduled in each bucket.
     pub good_by_bucket: Vec<u64>,
 }
 
 /// The summary of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
-    /// How long calls were offered, in milliseconds.
+    /// Duration of the run, in milliseconds.
     pub run_ms: u64,
     /// One group for all calls, each kind, each arm, and each kind and arm, sorted by name.
     pub groups: Vec<Group>,
@@ -59,7 +60,7 @@
 }
 
 impl Summary {
-    /// Summarizes a run of `run_ms`, with the recovery time if there was a trigger of overload.
+    /// Summarizes a run that lasted `run_ms`, with the recovery time if there was a trigger.
     pub fn new(records: &[Record], run_ms: u64, trigger: Option<Window>) -> Self {
         let mut groups: BTreeMap<(&str, &str), GroupStats> = BTreeMap::new();
         for record in records {
--- a/src/standin/message.rs
+++ b/src/standin/message.rs
@@ -26,7 +26,7 @@
     }
 
     /// The path (percent-decoded) and the query.
-    pub fn target(&self) -> String {
+    pub fn path_and_query(&self) -> String {
         if self.query.is_empty() {
             return self.path.clone();
         }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,5 +1,5 @@
-//! Small stand-ins for the surroundings of a site, for tests and demonstrations: the services of the
-//! platform, the operators' trace collector, targets and outside callers.
+//! Stand-ins for the systems around a site, for tests and demonstrations: the platform's services,
+//! the operators' trace collector, targets and external callers.
 //!
 //! Servers run inside a test (`start`) or as a process (`aspenspring standin ..`).
 
--- a/src/standin/platform/mod.rs
+++ b/src/standin/platform/mod.rs
@@ -26,7 +26,7 @@
 /// Path that reports the number of reads and writes.
 const STATS_PATH: &str = "/stats";
 
-/// The data of a stand-in, by the service that it stands for.
+/// The stored data of the service that a stand-in replaces.
 #[derive(Debug)]
 enum Store {
     /// The transactional table service.
--- a/src/standin/platform/rows.rs
+++ b/src/standin/platform/rows.rs
@@ -104,7 +104,7 @@
         Reply::empty(204)
     }
 
-    /// The 412 reply, with the current row if there is one, where the condition does not hold.
+    /// Returns a 412 reply, with the current row if there is one, if the condition does not hold.
     fn check_condition(&self, table: &str, key: &str, condition: &Condition) -> Option<Reply> {
         let current = self.row(table, key);
         let holds = match condition {
@@ -133,7 +133,7 @@
     Some((table, parts.next().filter(|key| !key.is_empty())))
 }
 
-/// The condition in the headers of a request; none where they are malformed.
+/// The condition in the headers of a request; `None` if they are malformed.
 fn parse_condition(request: &Request) -> Option<Condition> {
     if let Some(value) = request.header("if-none-match") {
         return (value.trim() == "*").then_some(Condition::Absent);
--- a/src/standin/server.rs
+++ b/src/standin/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server on its own thread, for stand-ins in tests and in processes of their own.
+//! The HTTP server of the stand-ins, which runs on its own thread.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 const BODY_MAX_BYTES: usize = 32 << 20;
 /// Timeout for reading a request body, in milliseconds.
 const READ_TIMEOUT_MS: u64 = 10_000;
-/// How long open connections may finish when a stand-in stops, in milliseconds.
+/// How long open connections may take to finish when a stand-in stops, in milliseconds.
 const STOP_GRACE_MS: u64 = 1_000;
 /// Methods with a route; Rocket answers HEAD through the GET route.
 const METHODS: [Method; 6] =
@@ -34,8 +34,8 @@
     address: SocketAddr,
     /// The runtime of the server.
     runtime: Handle,
-    /// The HTTP server; taken when it is stopped.
-    listener: Option<WebServer>,
+    /// The HTTP server; `None` once it is stopped.
+    web_server: Option<WebServer>,
 }
 
 impl Server {
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// An address that cannot be bound, or a thread that cannot be started.
+    /// The address cannot be bound, or the thread cannot be started.
     pub fn start<F, A>(listen: SocketAddr, workers: usize, respond: F) -> Result<Self, WebError>
     where
         F: Fn(Request) -> A + Clone + Send + Sync + 'static,
@@ -70,15 +70,15 @@
             });
             rocket.mount("/", routes).attach(liftoff)
         };
-        let listener = WebServer::start(&options, add_routes)?;
-        let address = listener.address();
+        let web_server = WebServer::start(&options, add_routes)?;
+        let address = web_server.address();
         let Ok(runtime) = runtime_receiver.recv() else {
             return Err(WebError::Launch {
                 address,
                 detail: "the server ended during its start".to_owned(),
             });
         };
-        Ok(Self { address, runtime, listener: Some(listener) })
+        Ok(Self { address, runtime, web_server: Some(web_server) })
     }
 
     /// The bound address, including the port.
@@ -91,7 +91,7 @@
         format!("http://{}", self.address)
     }
 
-    /// The runtime of the server, for tasks that must not outlive it.
+    /// The runtime of the server, for tasks that must not outlive the server.
     pub fn runtime(&self) -> &Handle {
         &self.runtime
     }
@@ -104,9 +104,9 @@
 
 impl Drop for Server {
     fn drop(&mut self) {
-        let Some(listener) = self.listener.take() else { return };
-        // A drop has no way to report an error of the listener.
-        let _ = listener.stop();
+        let Some(web_server) = self.web_server.take() else { return };
+        // `drop` cannot return the error.
+        let _ = web_server.stop();
     }
 }
 
@@ -135,7 +135,7 @@
     }
 }
 
-/// Converts a Rocket request, and reads its body.
+/// Reads the body of a Rocket request and converts the request.
 async fn parse_request(request: &RocketRequest<'_>, data: Data<'_>) -> Result<Request, Problem> {
     let body = read_body(data, BODY_MAX_BYTES, READ_TIMEOUT_MS).await?;
     let mut headers = Vec::new();
@@ -152,7 +152,7 @@
     })
 }
 
-/// Converts a reply to a Rocket response, including an injected fault in its delivery.
+/// Converts a reply to a Rocket response that is delivered as [`Reply::delivery`] says.
 fn to_response(reply: Reply) -> Response<'static> {
     let mut response = Response::new();
     response.set_status(Status::new(reply.status));
--- a/src/standin/target/announce.rs
+++ b/src/standin/target/announce.rs
@@ -1,4 +1,4 @@
-//! Registers a target with its node by announcements repeated at an interval.
+//! Registers a target with its node by periodic announcements.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,9 +8,9 @@
 
 use super::settings::TargetSettings;
 
-/// Interval between announcements.
+/// Interval between announcements, in milliseconds.
 const ANNOUNCE_INTERVAL_MS: u64 = 2_000;
-/// Delay before the next announcement when the node did not accept the last one.
+/// Delay before the next announcement if the node did not accept the last one, in milliseconds.
 const ANNOUNCE_RETRY_MS: u64 = 200;
 
 /// Announces the target to its node until the task is aborted.
@@ -36,7 +36,7 @@
     }
 }
 
-/// Tells the node to send this target no more calls.
+/// Tells the node to stop sending calls to this target.
 pub(super) async fn notify_drain(client: &Client, node: SocketAddr) -> Result<(), reqwest::Error> {
     let url = format!("http://{node}/_aspenspring/drain");
     client.post(url).send().await?.error_for_status()?;
--- a/src/standin/target/call.rs
+++ b/src/standin/target/call.rs
@@ -10,7 +10,7 @@
 pub(super) struct Call {
     /// The method.
     pub(super) method: String,
-    /// The path below the service, with its query.
+    /// The path without the service name, with the query.
     pub(super) path: String,
     /// The headers, names in lower case.
     headers: Vec<(String, String)>,
@@ -21,14 +21,14 @@
 }
 
 impl Call {
-    /// The call in a request received at `now`. The deadline is at most `default_deadline_ms` away, and
-    /// exactly that where the request sets none.
+    /// The call in a request received at `now`. The request can set a deadline of at most
+    /// `default_deadline_ms` from now, which is also the default.
     pub(super) fn new(request: Request, default_deadline_ms: u64, now: Instant) -> Self {
         let header_value = request.header("aspenspring-deadline-ms");
         let remaining_ms = header_value.and_then(|value| value.parse().ok());
         let remaining_ms = remaining_ms.unwrap_or(default_deadline_ms).min(default_deadline_ms);
         Self {
-            path: request.target(),
+            path: request.path_and_query(),
             method: request.method,
             headers: request.headers,
             body: request.body.into(),
@@ -42,8 +42,8 @@
         found.map(|(_, value)| value.as_str())
     }
 
-    /// The identifier with which the node can cancel the call.
-    pub(super) fn handle(&self) -> Option<&str> {
+    /// The identifier by which the node can cancel the call.
+    pub(super) fn call_id(&self) -> Option<&str> {
         self.header("aspenspring-call")
     }
 
--- a/src/standin/target/children.rs
+++ b/src/standin/target/children.rs
@@ -15,7 +15,6 @@
 const UNAVAILABLE: u16 = 503;
 /// Status returned when a child call got no usable answer.
 const BAD_GATEWAY: u16 = 502;
-
 /// Header in which the node reports whether the call ran.
 const VERDICT_HEADER: &str = "aspenspring-verdict";
 
@@ -36,7 +35,7 @@
 }
 
 /// Calls all `services`, concurrently or in sequence. Returns the first error in the order of
-/// `services`; child calls that still run are then aborted.
+/// `services`, and then aborts the child calls that still run.
 pub(super) async fn call_services(
     client: &Client,
     node: SocketAddr,
--- a/src/standin/target/fault.rs
+++ b/src/standin/target/fault.rs
@@ -33,7 +33,7 @@
     /// Factor by which the duration of calls is multiplied.
     #[serde(default = "default_factor")]
     pub factor: f64,
-    /// Duration of the fault in milliseconds; where absent, it lasts until the next request.
+    /// Duration of the fault in milliseconds; if absent, it lasts until the next request.
     #[serde(default)]
     pub for_ms: Option<u64>,
 }
--- a/src/standin/target/mod.rs
+++ b/src/standin/target/mod.rs
@@ -1,8 +1,8 @@
 //! A stand-in for one target of a service.
 //!
-//! It announces itself to its node. For each call, it waits for the service time, calls other services
-//! through its node, and answers with an echo of the request, with which a caller can verify that the
-//! answer is complete and belongs to its call.
+//! It announces itself to its node. For each call, it waits for the service time, calls other
+//! services through its node, and answers with an echo of the request. The caller can verify by the
+//! echo that the answer is complete and belongs to its call.
 
 mod announce;
 mod call;
@@ -92,7 +92,7 @@
         self.server.url()
     }
 
-    /// A copy of the counters of runs so far.
+    /// A copy of the current counters of runs.
     pub fn run_stats(&self) -> RunStats {
         self.state.run_stats().clone()
     }
@@ -153,18 +153,18 @@
 
 /// Reports how many calls run; under [`FaultMode::Lie`], always none.
 fn load(state: &TargetState) -> Reply {
-    let lies = state.fault().mode == FaultMode::Lie;
-    let running = if lies { 0 } else { state.slot_pools.running() };
+    let is_lying = state.fault().mode == FaultMode::Lie;
+    let running = if is_lying { 0 } else { state.slot_pools.running() };
     Reply::json(200, &json!({"running": running, "slots": state.settings.slots}))
 }
 
-/// Cancels all calls with the handle in the request.
+/// Cancels all calls with the call id in the request.
 fn cancel(state: &TargetState, request: &Request) -> Reply {
-    let handle = request.header("aspenspring-call").filter(|handle| !handle.is_empty());
-    let Some(handle) = handle else {
+    let call_id = request.header("aspenspring-call").filter(|call_id| !call_id.is_empty());
+    let Some(call_id) = call_id else {
         return Reply::problem(400, "the header aspenspring-call is missing");
     };
-    let status = if state.cancellations.cancel(handle) { 204 } else { 404 };
+    let status = if state.cancellations.cancel(call_id) { 204 } else { 404 };
     Reply::empty(status)
 }
 
--- a/src/standin/target/run_stats.rs
+++ b/src/standin/target/run_stats.rs
@@ -1,5 +1,5 @@
-//! Statistics of a target's runs: the number of runs by idempotency key, and the slot time by outcome,
-//! which shows how much work was wasted.
+//! Statistics of a target's runs: the number of runs by idempotency key, and the slot time by
+//! outcome, which shows how much work was wasted.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
     Expired,
     /// The node cancelled the call.
     Cancelled,
-    /// An injected fault spoiled the response.
+    /// An injected fault replaced or truncated the response.
     Faulty,
 }
 
--- a/src/standin/target/settings.rs
+++ b/src/standin/target/settings.rs
@@ -19,17 +19,17 @@
     /// Address on which the node accepts targets (`target_listen`). Without it, the target neither
     /// announces itself nor makes child calls.
     pub node: Option<SocketAddr>,
-    /// Number of calls that run at once.
+    /// Maximum number of calls that run at once.
     #[builder(default = 32)]
     pub slots: u32,
     /// Dedicated slots by policy arm (the value of the header `aspenspring-arm`); all other arms
     /// share `slots`.
     #[builder(default)]
     pub arm_slots: Vec<(String, u32)>,
-    /// Number of calls that may wait for a slot, in each pool of slots.
+    /// Maximum number of calls that wait for a slot, in each pool of slots.
     #[builder(default = 10_000)]
     pub queue_max: u32,
-    /// Number of connections that the target announces to accept.
+    /// Maximum number of connections that the target announces.
     #[builder(default = 1_000)]
     pub connections: u32,
     /// Mean service time of a call without its child calls, in milliseconds.
@@ -38,16 +38,16 @@
     /// Seed of the random service times.
     #[builder(default = 1)]
     pub seed: u64,
-    /// Services that are called while serving each call.
+    /// Services to which each call makes child calls.
     #[builder(default)]
     pub calls: Vec<String>,
     /// Whether child calls are made concurrently instead of in sequence.
     #[builder(default)]
     pub parallel: bool,
-    /// How long after its start the target is cold and works slowly, in milliseconds.
+    /// How long after its start the target is cold and serves calls slowly, in milliseconds.
     #[builder(default)]
     pub cold_ms: u64,
-    /// Default and longest deadline of a call, in milliseconds.
+    /// Default and maximum deadline of a call, in milliseconds.
     #[builder(default = 30_000)]
     pub deadline_ms: u64,
 }
--- a/src/standin/target/slots.rs
+++ b/src/standin/target/slots.rs
@@ -7,14 +7,15 @@
 /// A pool of slots with a bounded FIFO queue.
 #[derive(Debug)]
 pub(super) struct SlotPool {
-    /// The arm that the pool is dedicated to; none for the pool that all other arms share.
+    /// The arm that the pool is dedicated to; `None` for the pool that all other arms share.
     arm: Option<String>,
-    /// Number of calls that run at once.
+    /// Total number of slots.
     slots: u32,
     /// Free slots; the semaphore serves waiters in FIFO order.
-    free: Arc<Semaphore>,
-    /// Free places for calls that run or wait: slots plus queue.
-    capacity: Arc<Semaphore>,
+    free_slots: Arc<Semaphore>,
+    /// Free places for calls that run or wait; their total number is that of slots plus the length
+    /// of the queue.
+    free_places: Arc<Semaphore>,
 }
 
 /// Admission of a call to a pool, running or queued; released when dropped.
@@ -32,24 +33,25 @@
         Self {
             arm: arm.map(str::to_owned),
             slots,
-            free: Arc::new(Semaphore::new(slots as usize)),
-            capacity: Arc::new(Semaphore::new(slots as usize + queue_max as usize)),
+            free_slots: Arc::new(Semaphore::new(slots as usize)),
+            free_places: Arc::new(Semaphore::new(slots as usize + queue_max as usize)),
         }
     }
 
-    /// Admits a call to run or wait; none when the queue is full.
+    /// Admits a call to run or wait; `None` if the queue is full.
     pub(super) fn try_admit(&self) -> Option<Admission> {
-        self.capacity.clone().try_acquire_owned().ok().map(Admission)
+        self.free_places.clone().try_acquire_owned().ok().map(Admission)
     }
 
-    /// Waits for a slot. Dropping the future removes the call from the queue.
+    /// Waits for a slot. Dropping the future removes the call from the queue. Never returns `None`,
+    /// because the semaphore is never closed.
     pub(super) async fn acquire_slot(&self) -> Option<Slot> {
-        self.free.clone().acquire_owned().await.ok().map(Slot)
+        self.free_slots.clone().acquire_owned().await.ok().map(Slot)
     }
 
     /// Number of slots in use.
     fn running(&self) -> u32 {
-        self.slots - self.free.available_permits() as u32
+        self.slots - self.free_slots.available_permits() as u32
     }
 }
 
@@ -61,11 +63,11 @@
 }
 
 impl SlotPools {
-    /// Pools of the given sizes for `arms`, and one of `slots` that all other arms share; each has a
-    /// queue of `queue_max`.
-    pub(super) fn new(slots: u32, arms: &[(String, u32)], queue_max: u32) -> Self {
+    /// Pools of the given sizes for the arms in `arm_slots`, and one of `slots` that all other arms
+    /// share; each has a queue of `queue_max`.
+    pub(super) fn new(slots: u32, arm_slots: &[(String, u32)], queue_max: u32) -> Self {
         let mut pools = Vec::new();
-        for (arm, slots) in arms {
+        for (arm, slots) in arm_slots {
             pools.push(SlotPool::new(Some(arm), *slots, queue_max));
         }
         pools.push(SlotPool::new(None, slots, queue_max));
--- a/src/standin/target/state.rs
+++ b/src/standin/target/state.rs
@@ -1,4 +1,4 @@
-//! State of a target that its calls share.
+//! The state of a target, shared by all of its calls.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -14,7 +14,7 @@
 use super::settings::TargetSettings;
 use super::slots::SlotPools;
 
-/// State of a target that its calls share.
+/// The state of a target, shared by all of its calls.
 #[derive(Debug)]
 pub(super) struct TargetState {
     /// The settings of the target.
--- a/src/standin/target/work.rs
+++ b/src/standin/target/work.rs
@@ -11,11 +11,11 @@
 use crate::standin::answer::{Answer, Echo};
 use crate::standin::message::{Delivery, Reply};
 
-/// Factor on service times while a target is cold.
+/// Factor by which service times are multiplied while a target is cold.
 const COLD_FACTOR: f64 = 4.0;
 /// Constant part of the service time as a share of its mean; the rest is exponentially distributed.
 const MIN_TIME_SHARE: f64 = 0.5;
-/// Interval at which a stalled call checks whether the stall is over.
+/// Interval at which a stalled call checks whether the stall is over, in milliseconds.
 const STALL_POLL_MS: u64 = 10;
 /// Header in which a target states that it did not run a call.
 const VERDICT_HEADER: &str = "aspenspring-verdict";
@@ -31,7 +31,7 @@
     let Some(_admission) = pool.try_admit() else {
         return not_run_reply(state, 503, "the target's queue is full");
     };
-    let mut registration = state.cancellations.register(call.handle().unwrap_or(""));
+    let mut registration = state.cancellations.register(call.call_id().unwrap_or(""));
     let slot = tokio::select! {
         biased;
         () = sleep_until(call.deadline) => None,
@@ -113,13 +113,14 @@
     Duration::try_from_secs_f64(service_ms / 1_000.0).unwrap_or(Duration::MAX)
 }
 
-/// A reply that states that the call was not run; counts it.
+/// Counts a call that was not run and returns the reply that says so.
 fn not_run_reply(state: &TargetState, status: u16, title: &str) -> Reply {
     state.run_stats().never_run += 1;
     Reply::problem(status, title).with_header(VERDICT_HEADER, NOT_RUN)
 }
 
-/// A reply to a call that was stopped while it ran, so without the verdict "not run".
+/// A reply to a call that was stopped while it ran. It lacks the verdict "not run", because the
+/// call had started.
 fn stopped_reply(title: &str) -> Reply {
     Reply::problem(504, title)
 }
--- a/tests/standin_load.rs
+++ b/tests/standin_load.rs
@@ -91,7 +91,7 @@
     let forward = move |request: aspenspring::standin::message::Request| {
         let http = http.clone();
         async move {
-            let path = request.target().replacen("/shop", "", 1);
+            let path = request.path_and_query().replacen("/shop", "", 1);
             if path.starts_with("/refused") {
                 return Reply::problem(503, "busy")
                     .with_header("aspenspring-verdict", "not-run; reason=x");
--- a/tests/standin_platform.rs
+++ b/tests/standin_platform.rs
@@ -1,4 +1,5 @@
-//! The stand-ins of the platform and of the trace collector follow the protocols that nodes rely on.
+//! Tests that the stand-ins of the platform and of the trace collector follow the protocols that
+//! nodes rely on.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/tests/standin_target.rs
+++ b/tests/standin_target.rs
@@ -36,8 +36,8 @@
     panic!("the condition did not hold in time");
 }
 
-/// Stands in for the nodes between two targets: forwards calls to `child` without the service in the
-/// path, and checks that they carry the parent's call header.
+/// Stands in for the nodes between two targets: forwards calls to `child` without the service in
+/// the path, and checks that they carry the call id of the parent.
 fn child_proxy(child: SocketAddr) -> Server {
     let http = http();
     let forward = move |request: aspenspring::standin::message::Request| {
@@ -47,7 +47,7 @@
                 return Reply::empty(204);
             }
             assert_eq!(request.header("aspenspring-call"), Some("parent"));
-            let path = request.target();
+            let path = request.path_and_query();
             let (_, rest) = path[1..].split_once('/').expect("a service and a path");
             let url = format!("http://{child}/{rest}");
             let answer = http.post(url).body(request.body).send().await.expect("an answer");
