--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,5 @@
-//! Exit codes and diagnostics of the command line, and the generated files under `extra`.
+//! Tests of the exit codes and diagnostics of the command line, and of the generated files under
+//! `extra`.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn exit_codes_tell_usage_from_success() {
+fn exit_codes_distinguish_usage_errors_from_success() {
     let base = "examples/sites/base.json";
     let site = "examples/sites/jordan.json";
     let node = "examples/sites/nodes/souq-catalogue-1.json";
--- a/tests/cli_remote.rs
+++ b/tests/cli_remote.rs
@@ -1,4 +1,4 @@
-//! Commands that talk to the operator listener of a node.
+//! Tests of the commands that send requests to the operator listener of a node.
 
 use std::io::{Read, Write};
 use std::net::SocketAddr;
@@ -21,14 +21,14 @@
 const KEY: &str = "a-key-of-the-operators";
 const KEY_ENV: &str = "ASPENSPRING_OPERATOR_KEY";
 
-/// Starts an operator listener whose requests are handled by `reply` on a thread of its own.
-fn listen(reply: impl Fn(OperatorRequest) + Send + 'static) -> (WebServer, SocketAddr) {
+/// Starts an operator listener whose requests are handled by `handle` on a separate thread.
+fn listen(handle: impl Fn(OperatorRequest) + Send + 'static) -> (WebServer, SocketAddr) {
     let logging = Logging::start(&TelemetrySettings::default(), std::io::sink()).expect("a log");
     let (sender, ring) = bounded(8);
     let offer = move |request| {
         sender.try_send(request).map_err(crossbeam_channel::TrySendError::into_inner)
     };
-    std::thread::spawn(move || ring.into_iter().for_each(reply));
+    std::thread::spawn(move || ring.into_iter().for_each(handle));
     let options = OperatorOptions::builder()
         .address(SocketAddr::from(([127, 0, 0, 1], 0)))
         .maybe_key(OperatorKey::new(KEY))
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_reply_that_is_lost_is_told_from_a_request_that_was_not_sent() {
+fn a_lost_reply_is_distinguished_from_an_unsent_request() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a listener");
     let address = listener.local_addr().expect("an address");
     let server = std::thread::spawn(move || {
--- a/tests/compare.rs
+++ b/tests/compare.rs
@@ -1,4 +1,4 @@
-//! Comparison of policy arms by call records and node counters.
+//! Tests of the comparison of policy arms by call records and node counters.
 
 use std::path::{Path, PathBuf};
 
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Recording traces, truncated traces and expectations that are not met.
+//! Tests of recorded traces, truncated traces and expectations that are not met.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -18,7 +18,7 @@
     TraceReader::open(&sample_trace()).expect("a header").0
 }
 
-/// A path in the temporary directory of the build without an existing file.
+/// A path in the temporary directory of the build at which no file exists.
 fn new_file(name: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_file(&path);
--- a/tests/standin_platform.rs
+++ b/tests/standin_platform.rs
@@ -93,7 +93,7 @@
 }
 
 #[tokio::test]
-async fn objects_are_created_once_when_asked() {
+async fn if_none_match_creates_an_object_only_once() {
     let objects = start_objects(ANY_PORT).expect("an object store");
     let http = http();
     let url = format!("{}/objects/configuration-1", objects.url());
--- a/tests/standin_target.rs
+++ b/tests/standin_target.rs
@@ -1,4 +1,4 @@
-//! The stand-in target reports correctly which calls it ran.
+//! Tests that the stand-in target reports correctly which calls it ran.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/tests/telemetry_disconnect.rs
+++ b/tests/telemetry_disconnect.rs
@@ -22,7 +22,7 @@
     CallerLeft,
 }
 
-/// Reports on drop whether the handler finished.
+/// Reports on drop whether the handler finished, which the second field states.
 struct EndReporter<'a>(&'a Sender<HandlerEvent>, bool);
 
 impl Drop for EndReporter<'_> {
--- a/tests/telemetry_events.rs
+++ b/tests/telemetry_events.rs
@@ -1,4 +1,4 @@
-//! Tests of the numbered log events: the catalogue in the docs, the log lines, the rate limit.
+//! Tests of the numbered log events: the catalogue in the docs, the log lines and the rate limit.
 
 use std::io::Write;
 use std::sync::{Arc, Condvar, Mutex};
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_stuck_writer_blocks_nobody_and_drops_are_counted() {
+fn a_blocked_writer_does_not_block_logging_and_drops_are_counted() {
     let output = Output::default();
     let logging = Logging::start(&TelemetrySettings::default(), output.clone()).unwrap();
     output.set_blocked(true);
--- a/tests/telemetry_metrics.rs
+++ b/tests/telemetry_metrics.rs
@@ -1,4 +1,4 @@
-//! Tests of the metrics: the scraped text, labels, the catalogue in the docs.
+//! Tests of the metrics: the scraped text, the labels and the catalogue in the docs.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -73,8 +73,8 @@
 fn rings_and_totals_are_read_when_scraped() {
     let metrics = Metrics::new().unwrap();
     let fill = Arc::new(AtomicUsize::new(3));
-    let seen = Arc::clone(&fill);
-    let refused = metrics.watch_ring("decider", 64, move || seen.load(Ordering::Relaxed));
+    let read_fill = Arc::clone(&fill);
+    let refused = metrics.watch_ring("decider", 64, move || read_fill.load(Ordering::Relaxed));
     metrics.watch_total(names::LOG_DROPPED_TOTAL, || 11);
     assert_has_line(&metrics.render(), "aspenspring_ring_entries{ring=\"decider\"} 3");
     fill.store(5, Ordering::Relaxed);
--- a/tests/telemetry_trace.rs
+++ b/tests/telemetry_trace.rs
@@ -153,19 +153,19 @@
 
 #[test]
 fn a_full_ring_drops_and_counts_and_never_waits() {
-    // Accepts connections and never answers, so that the thread blocks while the ring fills up.
-    let silent = TcpListener::bind("127.0.0.1:0").unwrap();
+    // Accepts connections and never answers, so that the export blocks while the ring fills up.
+    let unresponsive = TcpListener::bind("127.0.0.1:0").unwrap();
     let metrics = Metrics::new().unwrap();
-    let url = format!("http://{}", silent.local_addr().unwrap());
+    let url = format!("http://{}", unresponsive.local_addr().unwrap());
     let duty = TraceDuty::start(&options(&url), &metrics, EventLog::discard()).unwrap();
     let sink = duty.sink();
     sink.push(span(1));
-    let stuck = silent.accept().unwrap();
+    let blocked_export = unresponsive.accept().unwrap();
     for span_id in 2..=1_000 {
         sink.push(span(span_id));
     }
     duty.stop();
-    drop(stuck);
+    drop(blocked_export);
     let text = metrics.render();
     let dropped = text.lines().filter_map(|line| {
         line.strip_prefix("aspenspring_spans_dropped_total{")?
--- a/tests/telemetry_web.rs
+++ b/tests/telemetry_web.rs
@@ -47,9 +47,9 @@
     answer
 }
 
-fn post_body(address: SocketAddr, stated_bytes: usize, sent: &str) -> String {
+fn post_body(address: SocketAddr, content_length: usize, sent: &str) -> String {
     let head = format!(
-        "POST /body HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {stated_bytes}\r\n\r\n"
+        "POST /body HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {content_length}\r\n\r\n"
     );
     exchange(address, &(head + sent))
 }
