--- a/examples/admission_cost.rs
+++ b/examples/admission_cost.rs
@@ -8,7 +8,9 @@
 use aspenspring::call::{ArmId, AttemptId, ClassRank, Level, NodeId, RootId};
 use aspenspring::config::Rules;
 
+/// The number of calls offered at each load.
 const CALLS: u64 = 2_000_000;
+/// The number of calls that the target runs at once.
 const SLOTS: u32 = 130;
 const RULES: &str = r#"{"routes": [], "classes": [
     {"name": "browse", "rank": 1, "deadline_ms": 1000, "deadline_max_ms": 1000},
--- a/examples/node_cost.rs
+++ b/examples/node_cost.rs
@@ -17,7 +17,7 @@
 /// The number of calls before the measurement, which fill tables and caches.
 const WARM_UP_CALLS: u64 = 20_000;
 /// The simulated time between two calls, in microseconds.
-const CALL_EVERY_US: u64 = 200;
+const CALL_INTERVAL_US: u64 = 200;
 
 fn main() {
     let files = [
@@ -40,12 +40,12 @@
     }
 }
 
-/// A node with a target that answers at once.
+/// A node with a target that answers immediately.
 struct Driver {
     node: Node,
     service: String,
     now_us: u64,
-    tickets: u64,
+    last_ticket: u64,
 }
 
 impl Driver {
@@ -58,8 +58,8 @@
             .seed(1)
             .origin_unix_ms(1_800_000_000_000)
             .build();
-        let build = site_rules(&settings.site);
-        let mut node = Node::new(0, identity, Arc::new(settings), build);
+        let build_rules = site_rules(&settings.site);
+        let mut node = Node::new(0, identity, Arc::new(settings), build_rules);
         let announcement = Announcement {
             url: "http://127.0.0.1:1".to_owned(),
             service: service.clone(),
@@ -68,13 +68,13 @@
         };
         let mut out = Vec::new();
         node.handle(1, NodeEvent::TargetAnnounced(announcement), &mut out);
-        let mut driver = Self { node, service, now_us: 1, tickets: 0 };
+        let mut driver = Self { node, service, now_us: 1, last_ticket: 0 };
         driver.answer_store_requests(out);
         driver
     }
 
-    /// Answers the first requests to the table service as an empty table would, so that the node becomes
-    /// ready.
+    /// Answers the first requests to the table service as an empty table would, so that the node
+    /// becomes ready.
     fn answer_store_requests(&mut self, mut actions: Vec<NodeAction>) {
         use aspenspring::duty::store::{StoreEvent, StoreOperation, StoreOutcome};
         for _ in 0..2_000 {
@@ -100,11 +100,11 @@
         let mut answered = 0;
         let mut out = Vec::new();
         for index in 0..calls {
-            self.now_us += CALL_EVERY_US;
+            self.now_us += CALL_INTERVAL_US;
             if index % 1_000 == 0 {
                 self.node.handle(self.now_us, self.announcement(), &mut out);
             }
-            self.tickets += 1;
+            self.last_ticket += 1;
             let event = NodeEvent::CallerCall(self.incoming(method, path));
             self.node.handle(self.now_us, event, &mut out);
             answered += self.answer_all(&mut out);
@@ -112,6 +112,7 @@
         answered
     }
 
+    /// Answers all requests to the target and returns the number of replies to the caller.
     fn answer_all(&mut self, out: &mut Vec<NodeAction>) -> u64 {
         let mut answered = 0;
         while let Some(action) = out.pop() {
@@ -152,7 +153,7 @@
             body: bytes::Bytes::from_static(&[0; 256]),
         };
         IncomingRequest {
-            ticket: Ticket(self.tickets),
+            ticket: Ticket(self.last_ticket),
             service: self.service.clone(),
             request,
             deadline_ms: None,
--- a/examples/once_cost.rs
+++ b/examples/once_cost.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// Mixes the bits of a counter.
+/// Maps a counter to a number that looks random.
 fn mix_bits(number: u64) -> u64 {
     number.wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
@@ -168,5 +168,5 @@
         black_box(table.arrive(entries, attempt(known), entries, ReturnPath(0)));
     }
     let repeat_ns = started.elapsed().as_nanos() as u64 / CALLS;
-    println!("book,{entries},{keeps_answers},{new_ns},{repeat_ns},{bytes},{approx}");
+    println!("attempt_table,{entries},{keeps_answers},{new_ns},{repeat_ns},{bytes},{approx}");
 }
--- a/examples/overload.rs
+++ b/examples/overload.rs
@@ -1,6 +1,8 @@
 //! Simulates a deployment under load with each admission policy and prints the results.
 //!
 //! `cargo run --release --example overload [SEED]`
+//!
+//! With the environment variable `SERIES`, it also prints the results over time.
 
 use std::time::Instant;
 
@@ -20,17 +22,17 @@
     let steady: &[(f64, f64)] = &[(0.0, 0.5), (5.0, 0.9)];
     let double: &[(f64, f64)] = &[(0.0, 0.5), (5.0, 2.0), (20.0, 0.5)];
     let tenfold: &[(f64, f64)] = &[(0.0, 0.5), (5.0, 10.0), (20.0, 0.5)];
-    let storm: &[(f64, f64)] = &[(0.0, 2.0)];
+    let double_from_start: &[(f64, f64)] = &[(0.0, 2.0)];
     let half: &[(f64, f64)] = &[(0.0, 0.5)];
     let scenarios: [(&str, Scenario); 8] = [
         ("steady 0.9", deep_chain(4, steady)),
         ("double", deep_chain(4, double)),
         ("tenfold", deep_chain(3, tenfold)),
-        ("from the start", deep_chain(4, storm)),
-        ("double, 12 a service", deep_chain(12, double)),
-        ("half, few a node", deep_chain_of(12, 4, half)),
-        ("steady, few a node", deep_chain_of(12, 4, steady)),
-        ("double, few a node", deep_chain_of(12, 4, double)),
+        ("from the start", deep_chain(4, double_from_start)),
+        ("double, 12 targets", deep_chain(12, double)),
+        ("half, few slots", deep_chain_of(12, 4, half)),
+        ("steady, few slots", deep_chain_of(12, 4, steady)),
+        ("double, few slots", deep_chain_of(12, 4, double)),
     ];
     println!(
         "{:<22}{:<9}{:>7}{:>7}{:>8}{:>7}{:>6}  served by rank 0 1 2      s",
--- a/examples/peer_bench.rs
+++ b/examples/peer_bench.rs
@@ -23,7 +23,7 @@
 const WARM_UP_CALLS: u64 = 20_000;
 /// Calls measured at each number of outstanding calls.
 const MEASURED_CALLS: u64 = 200_000;
-/// Time limit for each event.
+/// Maximum time to wait for an event.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn main() -> Result<()> {
@@ -31,7 +31,7 @@
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
     match arguments.as_slice() {
         ["serve"] => serve(),
-        ["call", address] => measure(address.parse().wrap_err("no address")?),
+        ["call", address] => measure(address.parse().wrap_err("not an address")?),
         _ => bail!("peer_bench serve | peer_bench call ADDRESS"),
     }
 }
@@ -49,7 +49,7 @@
     Ok((transport, events))
 }
 
-/// Answers calls until it is killed.
+/// Answers calls until the process is killed.
 fn serve() -> Result<()> {
     let (transport, events) = start(1)?;
     println!("{}", transport.address());
@@ -63,7 +63,7 @@
 
 /// Measures round trips to a server.
 fn measure(server: SocketAddr) -> Result<()> {
-    println!("before: {}", process());
+    println!("before: {}", process_usage());
     let (transport, events) = start(2)?;
     let handle = transport.handle();
     handle.connect(server);
@@ -78,15 +78,15 @@
         let mut times = run(&transport, &events, server, outstanding, MEASURED_CALLS)?;
         let seconds = started.elapsed().as_secs_f64();
         times.sort_unstable();
-        let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
+        let quantile = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
         println!(
             "outstanding {outstanding}: p50 {:?}, p99 {:?}, {:.0} round trips/s",
-            at(0.50),
-            at(0.99),
+            quantile(0.50),
+            quantile(0.99),
             MEASURED_CALLS as f64 / seconds
         );
     }
-    println!("after: {}", process());
+    println!("after: {}", process_usage());
     Ok(())
 }
 
@@ -120,7 +120,7 @@
 }
 
 /// Number of threads and resident memory of this process.
-fn process() -> String {
+fn process_usage() -> String {
     let threads = fs::read_dir("/proc/self/task").map_or(0, Iterator::count);
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let resident = status.lines().find(|line| line.starts_with("VmRSS")).unwrap_or("VmRSS ?");
--- a/examples/telemetry_cost.rs
+++ b/examples/telemetry_cost.rs
@@ -1,4 +1,4 @@
-//! Measures the cost of metrics, spans, suppressed events and of watching idle connections.
+//! Measures the cost of metrics, spans, suppressed events and the watch on idle connections.
 //!
 //! `cargo run --release --example telemetry_cost`
 
@@ -17,15 +17,18 @@
 use aspenspring::telemetry::trace::{SpanKind, SpanRecord, TraceDuty, TraceOptions};
 
 const ITERATIONS: u32 = 1_000_000;
+/// The number of idle connections that the server watches.
 const CONNECTIONS: usize = 450;
+/// The period over which the CPU time of the idle server is measured.
 const IDLE_PERIOD: Duration = Duration::from_secs(10);
 
-fn measure(what: &str, iterations: u32, mut run: impl FnMut(u32)) {
+/// Prints the mean time of `run` in nanoseconds.
+fn measure(name: &str, iterations: u32, mut run: impl FnMut(u32)) {
     let started = Instant::now();
     for iteration in 0..iterations {
         run(iteration);
     }
-    println!("{what}: {} ns", started.elapsed().as_nanos() / u128::from(iterations));
+    println!("{name}: {} ns", started.elapsed().as_nanos() / u128::from(iterations));
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
