--- a/examples/admission_cost.rs
+++ b/examples/admission_cost.rs
@@ -10,7 +10,7 @@
 
 /// The number of calls offered at each load.
 const CALLS: u64 = 2_000_000;
-/// The number of calls that the target runs at once.
+/// The number of calls that the target runs concurrently.
 const SLOTS: u32 = 130;
 const RULES: &str = r#"{"routes": [], "classes": [
     {"name": "browse", "rank": 1, "deadline_ms": 1000, "deadline_max_ms": 1000},
--- a/extra/aspenspring.fish
+++ b/extra/aspenspring.fish
@@ -133,7 +133,7 @@
 complete -c aspenspring -n '__fish_aspenspring_using_command standin target' -f -l name -r -d 'the target\'s name in its answers (default: its address)'
 complete -c aspenspring -n '__fish_aspenspring_using_command standin target' -f -l listen -r -d 'address to listen on, as ip:port'
 complete -c aspenspring -n '__fish_aspenspring_using_command standin target' -f -l node -r -d 'address on which the node accepts the target (target_listen), as ip:port'
-complete -c aspenspring -n '__fish_aspenspring_using_command standin target' -f -l slots -r -d 'maximum number of calls that run at once (default: 32)'
+complete -c aspenspring -n '__fish_aspenspring_using_command standin target' -f -l slots -r -d 'maximum number of calls that run concurrently (default: 32)'
 complete -c aspenspring -n '__fish_aspenspring_using_command standin target' -f -l lane-slots -r -d 'dedicated slots by policy arm, as arm=slots,arm=slots; other arms share --slots'
 complete -c aspenspring -n '__fish_aspenspring_using_command standin target' -f -l queue-max -r -d 'maximum number of calls that wait for a slot (default: 10000)'
 complete -c aspenspring -n '__fish_aspenspring_using_command standin target' -f -l connections -r -d 'maximum number of connections that the target announces (default: 1000)'
--- a/src/cli/compare.rs
+++ b/src/cli/compare.rs
@@ -36,7 +36,7 @@
     pub json: bool,
 }
 
-/// Reads the runs, writes the plot if asked for and prints the figures of each arm.
+/// Reads the runs, writes the plot if `--plot` is given and prints the figures of each arm.
 pub(super) fn run(args: &CompareArgs) -> eyre::Result<Exit> {
     if args.run.is_empty() {
         eprintln!("Give at least one run directory with --run.");
--- a/src/cli/leave.rs
+++ b/src/cli/leave.rs
@@ -20,7 +20,7 @@
     pub json: bool,
 }
 
-/// Asks the node to drain and prints how many calls are still in flight.
+/// Requests the node to drain and prints how many calls are still in flight.
 pub(super) fn run(args: &LeaveArgs) -> eyre::Result<Exit> {
     let reply = OperatorClient::new(&args.node, &args.key_env)?.post("leave")?.success_body()?;
     if args.json {
--- a/src/standin/cli.rs
+++ b/src/standin/cli.rs
@@ -96,7 +96,7 @@
     /// address on which the node accepts the target (target_listen), as ip:port
     #[argh(option)]
     pub node: Option<SocketAddr>,
-    /// maximum number of calls that run at once (default: 32)
+    /// maximum number of calls that run concurrently (default: 32)
     #[argh(option, default = "32")]
     pub slots: u32,
     /// dedicated slots by policy arm, as arm=slots,arm=slots; other arms share --slots
--- a/src/standin/collector.rs
+++ b/src/standin/collector.rs
@@ -15,7 +15,7 @@
 const SPANS_PATH: &str = "/spans";
 /// Path that deletes the received spans.
 const CLEAR_PATH: &str = "/clear";
-/// Maximum number of spans kept; later ones are dropped.
+/// Maximum number of spans stored; later ones are dropped.
 const SPANS_MAX: usize = 200_000;
 
 /// Starts a stand-in for the collector.
--- a/src/standin/faulty_body.rs
+++ b/src/standin/faulty_body.rs
@@ -1,4 +1,4 @@
-//! Response bodies that abort or truncate the response on purpose.
+//! Response bodies that abort or truncate the response, for fault injection.
 
 use std::future::Future;
 use std::io::{Result, SeekFrom};
--- a/src/standin/target/mod.rs
+++ b/src/standin/target/mod.rs
@@ -102,7 +102,7 @@
         self.state.set_fault(Fault::new(request, Instant::now()));
     }
 
-    /// Drains the target: tells the node, rejects new calls, and waits up to `timeout` for running
+    /// Drains the target: notifies the node, rejects new calls, and waits up to `timeout` for running
     /// ones.
     ///
     /// Returns the number of calls that still run after the wait.
--- a/src/standin/target/settings.rs
+++ b/src/standin/target/settings.rs
@@ -19,7 +19,7 @@
     /// Address on which the node accepts targets (`target_listen`). Without it, the target neither
     /// announces itself nor makes child calls.
     pub node: Option<SocketAddr>,
-    /// Maximum number of calls that run at once.
+    /// Maximum number of calls that run concurrently.
     #[builder(default = 32)]
     pub slots: u32,
     /// Dedicated slots by policy arm (the value of the header `aspenspring-arm`); all other arms
