--- a/src/cli/compare.rs
+++ b/src/cli/compare.rs
@@ -24,8 +24,8 @@
     /// whole run
     #[argh(option)]
     pub during: Option<Window>,
-    /// the window in which the overload was triggered, such as 10s..20s; needed for the recovery
-    /// time
+    /// the window in which the cause of the overload was active, such as 10s..20s; needed for the
+    /// recovery time
     #[argh(option)]
     pub trigger: Option<Window>,
     /// write a plot of goodput over time to this file (SVG)
@@ -36,7 +36,7 @@
     pub json: bool,
 }
 
-/// Reads the runs, writes the plot if asked for and prints the figures of each arm.
+/// Reads the runs, writes the plot if `--plot` is given and prints the figures of each arm.
 pub(super) fn run(args: &CompareArgs) -> eyre::Result<Exit> {
     if args.run.is_empty() {
         eprintln!("Give at least one run directory with --run.");
--- a/src/standin/collector.rs
+++ b/src/standin/collector.rs
@@ -15,7 +15,7 @@
 const SPANS_PATH: &str = "/spans";
 /// Path that deletes the received spans.
 const CLEAR_PATH: &str = "/clear";
-/// Maximum number of spans kept; later ones are dropped.
+/// Maximum number of spans stored; later ones are dropped.
 const SPANS_MAX: usize = 200_000;
 
 /// Starts a stand-in for the collector.
@@ -62,7 +62,7 @@
     }
 }
 
-/// The items of an array field; empty where the field is absent or no array.
+/// The items of an array field; empty if the field is absent or not an array.
 fn list<'a>(value: &'a Value, field: &str) -> &'a [Value] {
     value[field].as_array().map_or(&[], Vec::as_slice)
 }
