--- a/tests/mesh/quotas.rs
+++ b/tests/mesh/quotas.rs
@@ -158,8 +158,8 @@
         for entry in entries {
             if !self.has_fault(*entry, Fault::Restarts, self.step) {
                 let now = self.now(*entry);
-                let held = self.nodes[*entry].quotas.lease(&self.team, now);
-                held.lease.borrow_mut().record_demand(now);
+                let team_lease = self.nodes[*entry].quotas.lease(&self.team, now);
+                team_lease.lease.borrow_mut().record_demand(now);
                 self.nodes[*entry].waiting.push(self.step);
             }
         }
@@ -181,8 +181,8 @@
             self.send_to_owner(node, Message::Returned(tokens));
         }
         let waiting = std::mem::take(&mut self.nodes[node].waiting);
-        if let Some(held) = self.nodes[node].quotas.existing_lease(&self.team) {
-            held.lease.borrow_mut().waiting = waiting.len() as u32;
+        if let Some(team_lease) = self.nodes[node].quotas.existing_lease(&self.team) {
+            team_lease.lease.borrow_mut().waiting = waiting.len() as u32;
         }
         for arrived_step in waiting {
             match self.next_step(node, now) {
@@ -196,8 +196,8 @@
                 Step::UseEqualShare => {
                     let (initial_tokens, nodes) =
                         (tolerance().initial_tokens(self.quota), self.nodes.len());
-                    let held = self.nodes[node].quotas.lease(&self.team, now);
-                    let decision = held.lease.borrow_mut().try_take_equal_share(
+                    let team_lease = self.nodes[node].quotas.lease(&self.team, now);
+                    let decision = team_lease.lease.borrow_mut().try_take_equal_share(
                         self.quota,
                         initial_tokens,
                         nodes,
@@ -215,11 +215,11 @@
 
     fn next_step(&mut self, node: usize, now: Instant) -> Step {
         let quotas = &self.nodes[node].quotas;
-        let held = quotas.lease(&self.team, now);
+        let team_lease = quotas.lease(&self.team, now);
         if quotas.owner(&self.team).is_some() {
-            return held.lease.borrow_mut().next_step(now);
+            return team_lease.lease.borrow_mut().next_step(now);
         }
-        let mut lease = held.lease.borrow_mut();
+        let mut lease = team_lease.lease.borrow_mut();
         let decision = lease.try_take(now);
         if decision != Decision::Unknown {
             return Step::Decided(decision);
@@ -259,8 +259,8 @@
                     self.messages.push_back((self.step + DELAY_STEPS, to, from, answer));
                 }
                 Message::Granted(grant) => {
-                    let Some(held) = quotas.existing_lease(&self.team) else { continue };
-                    let late_tokens = held.lease.borrow_mut().handle_answer(grant, now);
+                    let Some(team_lease) = quotas.existing_lease(&self.team) else { continue };
+                    let late_tokens = team_lease.lease.borrow_mut().handle_answer(grant, now);
                     if late_tokens > 0 {
                         self.send_to_owner(to, Message::Returned(late_tokens));
                     }
--- a/tests/mesh/stop.rs
+++ b/tests/mesh/stop.rs
@@ -74,7 +74,7 @@
         while leaving.target.arrivals() < 2 {
             sleep(Duration::from_millis(5)).await;
         }
-        while leaving.node.takes_calls() {
+        while leaving.node.accepts_calls() {
             sleep(Duration::from_millis(5)).await;
         }
         for node in [&entry, &leaving] {
--- a/tests/mesh/support.rs
+++ b/tests/mesh/support.rs
@@ -1,4 +1,5 @@
-//! Whole nodes on loopback, each with a simulated target whose behaviour the test sets.
+//! Helpers that run whole nodes on loopback, each with a simulated target whose behaviour the test
+//! sets.
 
 use std::cell::{Cell, RefCell};
 use std::future::pending;
@@ -155,14 +156,14 @@
     pub reactions: RefCell<Vec<Reaction>>,
     /// The requests that reached it, with head and body.
     pub seen: RefCell<Vec<String>>,
-    /// How many of them the node cancelled before they were answered.
+    /// Number of them that the node cancelled before they were answered.
     pub cut_off: Cell<usize>,
     /// Crashes the target; it restarts after `RESTART_DELAY`.
     pub crash: Notify,
 }
 
 impl SimulatedTarget {
-    /// How many requests reached it.
+    /// Number of requests that reached it.
     pub fn arrivals(&self) -> usize {
         self.seen.borrow().len()
     }
--- a/tests/mesh/targets.rs
+++ b/tests/mesh/targets.rs
@@ -38,7 +38,7 @@
     assert_eq!(current(&target).as_deref(), Some("old"));
     assert!(target.observe_instance("new"));
     assert_eq!(current(&target).as_deref(), Some("new"));
-    assert!(target.observe_instance("never heard of"));
+    assert!(target.observe_instance("unknown"));
     assert_eq!(current(&target), None);
 }
 
@@ -67,7 +67,7 @@
         heartbeat
     };
     target.apply_heartbeat(&life(5_000, 70));
-    target.failing.note(true);
+    target.failing.record(true);
     assert!(target.apply_heartbeat(&life(6_000, 1)), "its sequence starts again");
     assert_eq!(
         target.failing.share(tokio::time::Instant::now()),
--- a/tests/mesh/teams.rs
+++ b/tests/mesh/teams.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn the_target_is_told_the_team_and_never_the_key() {
+fn the_target_gets_the_team_name_but_never_the_key() {
     run(async {
         let (entry, target_node) = entry_and_target(TEAMS, FAST).await;
         let lines =
@@ -189,7 +189,7 @@
     assert_eq!(two_ranks.rank_max(), 5);
 }
 
-/// The number of requests admitted out of `count`, sent to the given entries in turn. The others must be refused
+/// The number of requests admitted out of `count`, sent to the given entry nodes in turn. The others must be refused
 /// with a `retry-after` header.
 async fn count_admitted(entries: &[&TestNode], count: usize) -> usize {
     let mut served = 0;
--- a/tests/platform/process.rs
+++ b/tests/platform/process.rs
@@ -280,13 +280,13 @@
     for node in &nodes {
         wait_for(|| node.is_ready());
     }
-    // A node that started watching before it was connected to the others goes on until the next change.
+    // A node that began to follow the store before it was connected to the others does so until the next change.
     store.put("op", "config", &document(5, "/look/"));
     wait_for(|| nodes.iter().all(|node| node.site_version() == "5"));
     wait_for(|| store.watchers() == 2);
     store.put("op", "config", &document(6, "/look/"));
     wait_for(|| nodes.iter().all(|node| node.site_version() == "6"));
-    // Nodes that watch may fail at any time.
+    // Nodes that follow the store may fail at any time.
     nodes.remove(1);
     nodes.remove(0);
     store.put("op", "config", &document(7, "/look/"));
@@ -303,12 +303,12 @@
 /// Guards against an outdated configuration staying in force after the store was unresponsive, that is, accepted
 /// connections and requests without answering.
 ///
-/// A poll lost in that time must be repeated soon after the recovery of the store. This failed when polls timed
-/// out 2.5 s after the wait requested from the store, which was 12 s and later 25 s, and all watchers polled at the
-/// same moment, that of the last change: all 16 nodes timed out within 4 ms, polled again while the store was
-/// still unresponsive, and got the change 7 s later from a node that had just started and read it.
+/// A poll lost in that time must be retried soon after the recovery of the store. This failed when polls timed out 2.5
+/// s after the wait requested from the store, which was 12 s and later 25 s, and all followers polled at the same
+/// moment, that of the last change: all 16 nodes timed out within 4 ms, polled again while the store was still
+/// unresponsive, and got the change 7 s later from a node that had just started and read it.
 #[test]
-fn a_poll_lost_by_an_unresponsive_store_is_repeated_in_time() {
+fn a_poll_lost_by_an_unresponsive_store_is_retried_in_time() {
     let store = configured_store();
     let nodes = [start(&store, "one"), start(&store, "two")];
     wait_for(|| nodes.iter().all(Process::is_ready) && store.watchers() == 2);
--- a/tests/platform/soak/callers.rs
+++ b/tests/platform/soak/callers.rs
@@ -108,8 +108,8 @@
     }
 }
 
-/// The pause before a caller's next request. Usually short; sometimes so long that the connection is idle when the
-/// node is told to stop.
+/// The pause before a caller's next request. Usually short; sometimes so long that the connection is idle when the node
+/// begins to stop.
 fn pause_after(answer: Option<&Answer>, rng: &mut SmallRng) -> Duration {
     let refused = answer.map_or(Duration::ZERO, |answer| answer.retry_after);
     let idle_ms = if rng.random_bool(0.05) { 2_000 } else { 60 };
--- a/tests/platform/soak/faults.rs
+++ b/tests/platform/soak/faults.rs
@@ -19,7 +19,7 @@
     Kill { member: usize },
     /// A node is paused with SIGSTOP.
     Pause { member: usize, for_ms: u64 },
-    /// A node is told with SIGHUP to read its settings again.
+    /// A node reads its settings again after SIGHUP.
     Reload { member: usize },
     /// The store refuses every request.
     StoreUnavailable { for_ms: u64 },
--- a/tests/platform/soak/findings.rs
+++ b/tests/platform/soak/findings.rs
@@ -16,7 +16,7 @@
 const QUOTA_WINDOW: Duration = Duration::from_secs(5);
 /// The longest time after the caller has left at which a request may still start.
 const START_AFTER_LEAVE_MAX: Duration = Duration::from_millis(500);
-/// The most requests per seed that may start later nevertheless, as the news of the close may be delayed.
+/// The most requests per seed that may start later nevertheless, as the detection of the close may be delayed.
 const LATE_STARTS_MAX: usize = 3;
 /// The most findings printed per seed.
 const FINDINGS_PRINTED_MAX: usize = 12;
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -87,7 +87,7 @@
         changed.notify_all();
     }
 
-    /// Waits until a watcher has seen all rows that the operator has written.
+    /// Waits until a follower has read all rows that the operator has written.
     pub fn wait_until_seen(&self) {
         let (state, changed) = &*self.state;
         let state = state.lock().unwrap();
