--- a/src/mesh/codec.rs
+++ b/src/mesh/codec.rs
@@ -15,22 +15,22 @@
 const LENGTH_PREFIX_BYTES: usize = 4;
 /// Longest accepted frame: the longest body a caller may send, with its headers.
 pub const FRAME_MAX_BYTES: usize = 80 * 1024 * 1024;
-/// Dictionary name for directory parts of paths; no header has this name.
+/// Name under which directory parts of paths are encoded; no header has this name.
 const FOLDER_NAME: &[u8] = b"/";
-/// Dictionary name for teams; no header has this name.
+/// Name under which teams are encoded; no header has this name.
 const TEAM_NAME: &[u8] = b"@";
 
 /// Why a frame could not be decoded.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// The frame, or a string for the dictionary, exceeds the size limit.
-    #[error("frame or dictionary string too long: {0} bytes")]
+    /// The frame, or a word for the table, exceeds the size limit.
+    #[error("frame or word too long: {0} bytes")]
     TooLong(usize),
     /// The frame is not valid postcard.
     #[error("malformed frame")]
     Malformed(#[from] postcard::Error),
-    /// The number refers to no dictionary entry.
-    #[error("unknown dictionary number {0}")]
+    /// The table contains no word with this number.
+    #[error("unknown word number {0}")]
     UnknownWord(u8),
     /// A name is not valid UTF-8.
     #[error("name is not valid UTF-8")]
--- a/src/mesh/crash_reports.rs
+++ b/src/mesh/crash_reports.rs
@@ -24,10 +24,10 @@
         running: crash.requests.len() as u32,
         suspects: suspects as u32,
     });
-    if let Some(held) = crash.held {
-        let request = running.iter().find(|request| request.fingerprint == held);
+    if let Some(cause) = crash.held {
+        let request = running.iter().find(|request| request.fingerprint == cause);
         let path = request.map(|request| request.path.clone()).unwrap_or_default();
-        log_quarantined(node, held, path, "crash");
+        log_quarantined(node, cause, path, "crash");
     }
     node.inbound.broadcast(&Frame::Crash(crash));
 }
@@ -35,8 +35,8 @@
 /// Records that the target of another node crashed.
 pub fn receive_crash(node: &Node, crash: &Crash) {
     node.quarantine.apply_crash(crash);
-    if let Some(held) = crash.held {
-        log_quarantined(node, held, String::new(), "peer");
+    if let Some(cause) = crash.held {
+        log_quarantined(node, cause, String::new(), "peer");
     }
 }
 
--- a/src/mesh/gate.rs
+++ b/src/mesh/gate.rs
@@ -26,10 +26,12 @@
 /// Counts the requests that the target is running and queues the rest.
 #[derive(Debug, Default)]
 pub struct Gate {
+    /// Maximum number of running requests.
     limit: Cell<usize>,
     running: Cell<usize>,
     next_sequence: Cell<u64>,
     waiting: RefCell<BTreeMap<QueueKey, Waiter>>,
+    /// How long the request that was admitted last had waited.
     last_wait_ms: Cell<u32>,
     /// Moving average of the run time, in microseconds.
     mean_run_us: Cell<u64>,
--- a/src/mesh/link.rs
+++ b/src/mesh/link.rs
@@ -181,7 +181,7 @@
                 break io::ErrorKind::ConnectionAborted.into();
             }
             buffer.reserve(if is_busy { READ_BYTES } else { READ_IDLE_BYTES });
-            let room = buffer.capacity() - buffer.len();
+            let capacity = buffer.capacity() - buffer.len();
             let read = tokio::select! {
                 read = reader.read_buf(&mut buffer) => read,
                 () = self.closed.notified() => Err(io::ErrorKind::ConnectionAborted.into()),
@@ -189,7 +189,7 @@
             match read {
                 Ok(0) => break io::ErrorKind::UnexpectedEof.into(),
                 Ok(length) => {
-                    is_busy = length == room;
+                    is_busy = length == capacity;
                     self.record_received();
                 }
                 Err(error) => break error,
--- a/src/mesh/node.rs
+++ b/src/mesh/node.rs
@@ -374,7 +374,7 @@
         let is_pending = self
             .last_site_request
             .get()
-            .is_some_and(|(asked, at)| asked == version && at.elapsed() < SITE_REQUEST_TIMEOUT);
+            .is_some_and(|(active, at)| active == version && at.elapsed() < SITE_REQUEST_TIMEOUT);
         if is_pending {
             return;
         }
@@ -384,11 +384,11 @@
 
     /// Whether another peer may be asked for its linked nodes. Counts the request if so.
     pub fn try_neighbour_request(&self) -> bool {
-        let asked = self.neighbour_requests.get();
-        if self.has_read_nodes.get() || asked >= NEIGHBOUR_REQUESTS_MAX {
+        let sent = self.neighbour_requests.get();
+        if self.has_read_nodes.get() || sent >= NEIGHBOUR_REQUESTS_MAX {
             return false;
         }
-        self.neighbour_requests.set(asked + 1);
+        self.neighbour_requests.set(sent + 1);
         true
     }
 
@@ -404,17 +404,17 @@
 
     /// Logs the routes that have begun or ceased to be shed.
     fn log_admission(&self, site: &Site, services: &HashMap<String, ServiceView>) {
-        let mut refused = self.shed_routes.borrow_mut();
+        let mut shed = self.shed_routes.borrow_mut();
         for route in site.routes() {
             let probability = self.overload.admission_probability(&route);
-            let is_refused = probability < 1.0;
-            if refused.contains(&route.name) == is_refused {
+            let is_shed = probability < 1.0;
+            if shed.contains(&route.name) == is_shed {
                 continue;
             }
-            if is_refused {
-                refused.insert(Rc::clone(&route.name));
+            if is_shed {
+                shed.insert(Rc::clone(&route.name));
             } else {
-                refused.remove(&route.name);
+                shed.remove(&route.name);
             }
             let limited_by = self.overload.limited_by(&route).unwrap_or_default();
             let load = services.get(&limited_by).map(|view| view.load).unwrap_or_default();
--- a/src/mesh/peers.rs
+++ b/src/mesh/peers.rs
@@ -77,8 +77,8 @@
 /// Serves a link that this node has dialled, until it ends.
 async fn run_link(node: &Rc<Node>, peer: &Rc<Peer>, stream: TcpStream) {
     let (link, reader) = Link::start(stream);
-    let left = peer.status.borrow().left.clone();
-    link.send(&Frame::Hello(node.hello(left)));
+    let left_incarnations = peer.status.borrow().left.clone();
+    link.send(&Frame::Hello(node.hello(left_incarnations)));
     node.add_dialled(&link);
     let on_frame = |frame| match frame {
         Frame::Hello(hello) => {
--- a/src/mesh/quarantine.rs
+++ b/src/mesh/quarantine.rs
@@ -1,9 +1,10 @@
 //! Quarantines requests that crash the targets that run them.
 //!
 //! When a target crashes, any of the requests it was running may be the cause. A request that
-//! succeeds is cleared. One that was running in two crashes without a success in between becomes a
-//! suspect, and at most one suspect runs on a target at a time. If that target crashes too, the
-//! suspect is the most likely cause and is quarantined on all nodes.
+//! succeeds is cleared, whatever other requests were running. One that was running in two crashes
+//! without a success in between becomes a suspect, and at most one suspect runs on a target at a
+//! time. If that target crashes too, the suspect is the most likely cause and is quarantined on all
+//! nodes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,9 +24,9 @@
 const QUARANTINE_INITIAL: Duration = Duration::from_secs(60);
 /// Factor by which the duration grows each time the trial crashes a target.
 const QUARANTINE_GROWTH: u32 = 10;
-/// Maximum duration.
+/// Maximum duration of a quarantine.
 const QUARANTINE_MAX: Duration = Duration::from_secs(24 * 60 * 60);
-/// Time without another crash after which the record of a request is dropped.
+/// Time from the last crash, or from the end of the quarantine, after which a record is dropped.
 const RECORD_TTL: Duration = Duration::from_secs(600);
 /// Maximum number of records. Those of the least suspicious requests are dropped first.
 const RECORDS_MAX: usize = 4_096;
@@ -189,7 +190,7 @@
             record.crashes += 1;
             record.last_crash = now;
         }
-        if let Some(record) = crash.held.and_then(|held| records.get_mut(&held)) {
+        if let Some(record) = crash.held.and_then(|cause| records.get_mut(&cause)) {
             record.quarantine(record.quarantine_count + 1, now);
         }
         if records.len() > RECORDS_MAX {
--- a/tests/emulator/mod.rs
+++ b/tests/emulator/mod.rs
@@ -478,9 +478,9 @@
 /// proportional numbers at the others.
 pub fn deep_chain_of(scale: usize, slots: u32, load: &[(f64, f64)]) -> Scenario {
     let speeds = |all: &[f64]| (0..scale).map(|index| all[index % all.len()]).collect();
-    let service = |usual: u32, all: &[f64]| Service {
+    let service = |base_slots: u32, all: &[f64]| Service {
         speeds: speeds(all),
-        slots: (usual * slots).div_ceil(40),
+        slots: (base_slots * slots).div_ceil(40),
     };
     let kind = |name, service, rank, work_ms, timeout_ms| Kind {
         name,
--- a/tests/mesh/nodes.rs
+++ b/tests/mesh/nodes.rs
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_failure_of_a_downstream_call_is_not_retried_upstream() {
+fn a_failure_that_comes_from_further_down_is_not_repeated_above() {
     run(async {
         let entry = start("stock-1", "stock", vec![FAST]).await;
         for number in 0..30 {
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_target_that_fails_often_is_avoided_while_another_has_capacity() {
+fn a_target_that_fails_often_is_left_alone_while_another_has_room() {
     run(async {
         let entry = start("page-1", "page", vec![FAST]).await;
         let sound = start("stock-1", "stock", vec![FAST]).await;
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_request_past_its_route_s_time_gets_its_answer_though_the_target_goes_on() {
+fn a_request_past_the_timeout_of_its_route_is_answered_while_the_target_runs_it() {
     run(async {
         let entry = start("stock-1", "stock", vec![Reaction::Answer(200, 60_000)]).await;
         let answer = ask(&entry, &request("hasty", "a1")).await;
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn another_incarnation_at_the_address_does_not_run_what_was_meant_for_the_first() {
+fn another_incarnation_at_the_address_does_not_run_requests_for_the_first() {
     run(async {
         let misdirect = Reaction::Misdirect("stock-1b".to_owned());
         let entry = start("stock-1", "stock", vec![misdirect, FAST]).await;
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn other_nodes_learn_at_once_which_root_routes_reach_a_target() {
+fn other_nodes_learn_at_once_by_which_routes_requests_reach_a_target() {
     run(async {
         let entry = start("page-1", "page", vec![FAST]).await;
         let other = start("stock-1", "stock", vec![FAST]).await;
--- a/tests/mesh/properties.rs
+++ b/tests/mesh/properties.rs
@@ -195,7 +195,7 @@
     /// of ten seconds never exceed the slack plus the share of the requests in the largest of three
     /// spans: that one, the one before, and the one that begins half a span earlier.
     #[test]
-    fn retries_stay_within_the_share_in_every_span(
+    fn repeats_keep_to_the_share_in_every_span(
         nodes in prop_oneof![Just(2_usize), Just(16), Just(96), Just(300)],
         rates in vec(prop_oneof![Just(0.0), 0.0..3.0_f64, 0.0..40.0_f64], 5),
         failing in vec(0.0..1.0_f64, 5),
--- a/tests/mesh/quarantine.rs
+++ b/tests/mesh/quarantine.rs
@@ -92,7 +92,7 @@
 
 impl Simulation<'_> {
     /// Adds the requests that arrive in a step: new ones, and at intervals the culprit.
-    fn call(&mut self) {
+    fn add_arrivals(&mut self) {
         for _ in 0..self.nodes.len() {
             if self.rng.random_bool(0.3) {
                 self.offer(self.next_request, 1);
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Offers each waiting request to a random target.
-    fn place_all(&mut self) {
+    /// Places each waiting request on a random target, if its node admits it.
+    fn place_offers(&mut self) {
         for offer in std::mem::take(&mut self.offers) {
             if self.step - offer.since > CALLER_TIMEOUT_STEPS {
                 self.counts.timed_out += u32::from(offer.request != CULPRIT);
@@ -145,14 +145,14 @@
                 self.counts.wrongly_quarantined += u32::from(offer.request != CULPRIT);
                 continue;
             };
-            let takes = if offer.request == CULPRIT { 3..14 } else { 5..25 };
-            let ends_at = self.step + self.rng.random_range(takes);
+            let run_steps = if offer.request == CULPRIT { 3..14 } else { 5..25 };
+            let ends_at = self.step + self.rng.random_range(run_steps);
             self.targets[index].running.push(Run { offer, ends_at, _isolation: isolation });
         }
     }
 
     /// Ends the runs that are due, with an answer or by a crash of their target.
-    fn run_all(&mut self) {
+    fn end_due_runs(&mut self) {
         for index in 0..self.targets.len() {
             let running = std::mem::take(&mut self.targets[index].running);
             let (ended, unfinished): (Vec<_>, Vec<_>) =
@@ -201,8 +201,7 @@
 
 /// Simulates one request that crashes targets and is sent repeatedly, among others that do not.
 ///
-/// In each step a target crashes without a cause with the probability
-/// `crash_probability`.
+/// In each step, each target crashes without a cause with the probability `crash_probability`.
 async fn simulate(seed: u64, targets: usize, crash_probability: f64) -> Counts {
     let nodes: Vec<Quarantine> = (0..targets).map(|_| Quarantine::default()).collect();
     let mut simulation = Simulation {
@@ -219,10 +218,10 @@
     for step in 0..STEPS {
         advance(STEP).await;
         simulation.step = step;
-        simulation.call();
+        simulation.add_arrivals();
         simulation.deliver_notices();
-        simulation.place_all();
-        simulation.run_all();
+        simulation.place_offers();
+        simulation.end_due_runs();
     }
     simulation.counts
 }
--- a/tests/mesh/quotas.rs
+++ b/tests/mesh/quotas.rs
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn a_team_gets_its_full_quota_whichever_entries_it_uses() {
+fn a_team_gets_its_full_quota_whichever_entry_nodes_it_uses() {
     for (nodes, quota) in cases() {
         let all = |rng: &mut SmallRng, _| rng.random_range(0..nodes);
         let one = |_: &mut SmallRng, _| 0;
--- a/tests/mesh/targets.rs
+++ b/tests/mesh/targets.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_incarnation_that_answers_is_the_one_to_go_by() {
+fn the_incarnation_that_answers_becomes_the_current_one() {
     let target = target();
     target.apply_heartbeat(&heartbeat("new", "page", 1));
     // Delayed since before this node started, so its sequence does not show that it is late.
--- a/tests/mesh/teams.rs
+++ b/tests/mesh/teams.rs
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn requests_within_the_quota_are_admitted_at_any_entry() {
+fn requests_within_the_quota_are_admitted_at_any_entry_node() {
     run(async {
         let (entry, target_node) = entry_and_target("2 growers:green-key:500:100", FAST).await;
         sleep(Duration::from_millis(400)).await;
--- a/tests/platform/process.rs
+++ b/tests/platform/process.rs
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn two_nodes_of_a_failure_domain_watch_the_store_for_all() {
+fn two_nodes_of_a_failure_domain_follow_the_store_for_all() {
     let store = configured_store();
     let mut nodes = Vec::new();
     for name in ["one", "two", "three", "four", "five"] {
