--- a/src/mesh/inbound.rs
+++ b/src/mesh/inbound.rs
@@ -1,4 +1,5 @@
-//! Tracks the links on which other nodes call this one, and sends status and load updates on them.
+//! Tracks the links on which other nodes call this one, and sends status updates and load reports
+//! on them.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -64,8 +65,8 @@
     }
 
     /// Sends the full status if it has changed, and otherwise the target's load to the groups of
-    /// nodes for which an update is due. `in_domain` and `all` are the numbers of targets of the
-    /// service in this failure domain and in total.
+    /// nodes for which a load report is due. `in_domain` and `all` are the numbers of targets of
+    /// the service in this failure domain and in total.
     pub fn send_due_updates(&self, status: &Status, in_domain: usize, all: usize) {
         if self.is_status_due(status) {
             self.broadcast_status(status);
--- a/src/mesh/metrics.rs
+++ b/src/mesh/metrics.rs
@@ -167,7 +167,7 @@
     }
 }
 
-/// 1 for a node that follows the store, 0 for one that learns of changes from its peers.
+/// 1 for a node that follows the store, 0 for one that receives changes from its peers.
 fn follows_store(node: &Node) -> f64 {
     match node.store_watch.role() {
         Role::Follower | Role::Substitute => 1.0,
--- a/tests/mesh/links.rs
+++ b/tests/mesh/links.rs
@@ -1,4 +1,5 @@
-//! Status and load updates between nodes, and how their volume scales with the number of nodes.
+//! Status updates and load reports between nodes, and how their volume scales with the number of
+//! nodes.
 
 use std::time::Duration;
 
@@ -19,10 +20,10 @@
     Reaction, ask, incarnation, link_nodes, request, run, start, status, unused_address,
 };
 
-/// Interval at which a node checks whether an update is due.
+/// Interval at which a node checks whether a load report is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What one node receives about the targets of a service.
+/// The load reports that one node receives about the targets of a service.
 struct Received {
     updates_per_s: f64,
     /// Mean error of the reported total load, as a fraction of the slots.
--- a/tests/platform/process.rs
+++ b/tests/platform/process.rs
@@ -283,7 +283,7 @@
     // A node that began to follow the store before it was connected to the others does so until the next change.
     store.put("op", "config", &document(5, "/look/"));
     wait_for(|| nodes.iter().all(|node| node.site_version() == "5"));
-    wait_for(|| store.watchers() == 2);
+    wait_for(|| store.pending_polls() == 2);
     store.put("op", "config", &document(6, "/look/"));
     wait_for(|| nodes.iter().all(|node| node.site_version() == "6"));
     // Nodes that follow the store may fail at any time.
@@ -311,7 +311,7 @@
 fn a_poll_lost_by_an_unresponsive_store_is_retried_in_time() {
     let store = configured_store();
     let nodes = [start(&store, "one"), start(&store, "two")];
-    wait_for(|| nodes.iter().all(Process::is_ready) && store.watchers() == 2);
+    wait_for(|| nodes.iter().all(Process::is_ready) && store.pending_polls() == 2);
     store.set_unresponsive(true);
     store.put("op", "config", &document(5, "/look/"));
     wait_for(|| store.lost_answers() >= 2);
--- a/tests/platform/soak/mod.rs
+++ b/tests/platform/soak/mod.rs
@@ -37,9 +37,9 @@
 const FAULTS_PERIOD: Duration = Duration::from_secs(18);
 /// The longest time after the last fault until every request is served again.
 const RECOVERY_MAX: Duration = Duration::from_secs(15);
-/// The time in which the probe asks every node for its configuration.
+/// The time in which the probe checks the configuration of every node.
 const PROBE_PERIOD: Duration = Duration::from_millis(700);
-/// How often the request that crashes its target is sent after the last fault.
+/// The number of times that the request that crashes its target is sent after the last fault.
 const CRASH_ATTEMPTS: usize = 12;
 /// The most targets that it may crash: three until it is quarantined, and three after that.
 const CRASHES_MAX: u32 = 3 + 3;
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -25,9 +25,9 @@
     /// Connections on which an answer was dropped. They stay open without further answers.
     lost_answers: Vec<TcpStream>,
     /// The version given in the latest poll of the operator's table.
-    last_watched_version: u64,
+    last_polled_version: u64,
     /// The number of pending polls of the operator's table.
-    watchers: usize,
+    pending_polls: usize,
 }
 
 /// The stand-in store.
@@ -91,14 +91,12 @@
     pub fn wait_until_seen(&self) {
         let (state, changed) = &*self.state;
         let state = state.lock().unwrap();
-        drop(
-            changed.wait_while(state, |state| state.last_watched_version < state.version).unwrap(),
-        );
+        drop(changed.wait_while(state, |state| state.last_polled_version < state.version).unwrap());
     }
 
     /// The number of pending polls of the operator's table.
-    pub fn watchers(&self) -> usize {
-        self.state.0.lock().unwrap().watchers
+    pub fn pending_polls(&self) -> usize {
+        self.state.0.lock().unwrap().pending_polls
     }
 
     /// The keys of a table.
@@ -160,8 +158,8 @@
         }
         let after: u64 = query_parameter("after").unwrap().parse().unwrap();
         if table == "op" {
-            state.last_watched_version = after;
-            state.watchers += 1;
+            state.last_polled_version = after;
+            state.pending_polls += 1;
             changed.notify_all();
         }
         let wait = Duration::from_millis(query_parameter("waitMs").unwrap().parse().unwrap());
@@ -175,7 +173,7 @@
         };
         let (mut state, _) = changed.wait_timeout_while(state, wait, is_unchanged).unwrap();
         if table == "op" {
-            state.watchers -= 1;
+            state.pending_polls -= 1;
         }
         if state.is_unavailable {
             return (503, json!({}));
