--- a/src/mesh/gate.rs
+++ b/src/mesh/gate.rs
@@ -15,7 +15,7 @@
 const USABLE_FRACTION: f64 = 0.94;
 /// Waiting time that one rank outweighs. Requests that the entry node has admitted should be
 /// completed: with strict priorities, admitted requests of low rank would wait until they expire,
-/// and the work done for them would be wasted.
+/// and the work already done for them would be wasted.
 const RANK_DELAY: Duration = Duration::from_millis(40);
 /// Maximum queue length, as a multiple of the limit.
 const QUEUE_PER_SLOT: usize = 4;
@@ -26,10 +26,12 @@
 /// Counts the requests that the target is running and queues the rest.
 #[derive(Debug, Default)]
 pub struct Gate {
+    /// Maximum number of running requests.
     limit: Cell<usize>,
     running: Cell<usize>,
     next_sequence: Cell<u64>,
     waiting: RefCell<BTreeMap<QueueKey, Waiter>>,
+    /// How long the request that was admitted last had waited.
     last_wait_ms: Cell<u32>,
     /// Moving average of the run time, in microseconds.
     mean_run_us: Cell<u64>,
