--- a/src/once/fingerprint.rs
+++ b/src/once/fingerprint.rs
@@ -1,19 +1,19 @@
-//! A short hash of a request, to notice a key that is used for two different requests.
+//! A short hash of a request, to detect a key that is reused for a different request.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
 use crate::call::HttpRequest;
 
-/// What the ledger remembers of a request: its method, path and body, hashed.
+/// A hash of a request's method, path and body.
 ///
-/// Headers stay out of it, because a caller that repeats a request may well renew its credentials
-/// or its trace context.
+/// Headers are excluded, because a caller that repeats a request may renew its credentials or its
+/// trace context.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// The fingerprint of `request`.
+    /// Computes the fingerprint of `request`.
     pub fn of(request: &HttpRequest) -> Self {
         let hash = Sha256::new()
             .chain_update((request.method.len() as u64).to_be_bytes())
--- a/src/once/mod.rs
+++ b/src/once/mod.rs
@@ -1,22 +1,23 @@
-//! At most one run: of a key over the whole fleet, and of an attempt at its receiving node.
+//! At-most-once execution: of an idempotency key in the whole fleet, and of an attempt at the node
+//! that receives it.
 //!
-//! The [`Ledger`] beside each target remembers the keys its node owns; the [`AttemptBook`] every
-//! attempt that arrived; the [`SenderBook`] every attempt that was sent. An [`Outcome`] joins the
-//! verdicts of a request's attempts. All are plain state machines without I/O, clock or randomness.
-//! The design and its alternatives are in `docs/DESIGN-once.md`.
+//! On each node the [`Ledger`] records the state of the keys the node owns, the [`AttemptBook`] the
+//! attempts it received and [`InFlightAttempts`] the attempts it sent. An [`Outcome`] combines the
+//! verdicts of a request's attempts. All are state machines without I/O, clock or randomness.
+//! `docs/DESIGN-once.md` describes the design and its alternatives.
 
 mod attempt_book;
 mod fingerprint;
-mod floor;
 mod handover;
+mod in_flight;
 mod keyspace;
 mod ledger;
 mod outcome;
-mod sender_book;
+mod watermarks;
 
 pub use attempt_book::{Arrival, AttemptBook, AttemptBookOptions, FenceReply, ReturnPath};
 pub use fingerprint::Fingerprint;
 pub use handover::{AdoptError, Handover, HandoverError};
+pub use in_flight::{AbandonedAttempt, CallToken, InFlightAttempts};
 pub use ledger::{DelegateError, Ledger, LedgerOptions, Offer};
-pub use outcome::{Outcome, Scope, outward};
-pub use sender_book::{CallToken, GivenUp, SenderBook};
+pub use outcome::{Outcome, RefusalScope, external_verdict};
--- a/src/once/outcome.rs
+++ b/src/once/outcome.rs
@@ -1,22 +1,23 @@
-//! One verdict for a request out of the verdicts of its attempts.
+//! Combines the verdicts of a request's attempts into one verdict.
 
 use crate::call::{AttemptId, Doubt, Refusal, RefusalReason, Verdict};
 
-/// What a "not run" for a request with an idempotency key speaks about.
+/// What a "not run" verdict covers if the request has an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
-    /// Only this request was not run; an earlier one with the same key may have been.
+pub enum RefusalScope {
+    /// Only this request was not run; an earlier one with the same key may have run.
     Request,
-    /// No request with this key had run when the holder decided it. A repeated verdict speaks of the
-    /// time of the decision, and so does one that was long on its way.
+    /// No request with this key had run when the holder of the key made the decision. A verdict that
+    /// is repeated or delayed still refers to the time of the decision.
     Key,
 }
 
-impl Scope {
-    /// The scope of `reason`, told by the holder of the key (`from_holder`) or by anybody else.
+impl RefusalScope {
+    /// Returns the scope of `reason`. `from_holder` is true if the verdict is from the node that holds
+    /// the key.
     ///
-    /// The holder asks its ledger before it admits anything, so its refusals cover the key, but for
-    /// those it gives without looking at the key.
+    /// The holder checks its ledger before it admits an attempt, so its refusals cover the key, except
+    /// for those it makes without checking the key.
     pub fn of(reason: RefusalReason, from_holder: bool) -> Self {
         if !from_holder {
             return Self::Request;
@@ -34,21 +35,21 @@
     }
 }
 
-/// What is known about the attempts of one request, at the place that made them.
+/// What the sender of a request knows about its attempts.
 ///
-/// A request was not run only if each of its attempts was not run: a refusal of the last attempt
-/// says nothing about an earlier one whose connection was lost.
+/// A request was not run only if none of its attempts was run: a refusal of the last attempt does not
+/// cover an earlier one whose connection was lost.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Attempts that may have run, in the order of their settlement.
+    /// Attempts that may have run, in the order in which they were recorded.
     doubts: Vec<(AttemptId, Doubt)>,
     /// The latest refusal.
     refusal: Option<Refusal>,
 }
 
 impl Outcome {
-    /// Records the verdict of `attempt`. A later verdict of the same attempt, as a fence brings it,
-    /// replaces a doubt.
+    /// Records the verdict of `attempt`. A later definite verdict for the same attempt, such as the
+    /// reply to a fence, replaces a doubt.
     pub fn record(&mut self, attempt: AttemptId, verdict: &Verdict) {
         match verdict {
             Verdict::Answered(_) => self.doubts.retain(|(doubted, _)| *doubted != attempt),
@@ -64,14 +65,14 @@
         }
     }
 
-    /// Whether some attempt may have run.
-    pub fn is_doubted(&self) -> bool {
+    /// Whether the outcome of an attempt is unknown, so that it may have run.
+    pub fn may_have_run(&self) -> bool {
         !self.doubts.is_empty()
     }
 
-    /// What the caller is told when the request ends with `last`.
+    /// Returns the verdict for the caller when the request ends with `last`.
     pub fn conclude(&self, last: Verdict) -> Verdict {
-        let last = outward(last);
+        let last = external_verdict(last);
         if !last.is_not_run() {
             return last;
         }
@@ -82,11 +83,11 @@
     }
 }
 
-/// A verdict as it may leave the fleet.
+/// Converts a verdict to the form that may be reported outside of the fleet.
 ///
-/// "The key is elsewhere now" is true for the attempt, and says nothing about the key: the other
-/// node may have run it already. A sender that cannot ask there must not pass it on as "not run".
-pub fn outward(verdict: Verdict) -> Verdict {
+/// A refusal because the key moved to another node covers the attempt but not the key: the other node
+/// may have run the key already. A sender that cannot ask that node must not report "not run".
+pub fn external_verdict(verdict: Verdict) -> Verdict {
     let Verdict::NotRun(refusal) = verdict else { return verdict };
     match refusal.reason {
         RefusalReason::KeyDelegated(_) | RefusalReason::KeyInherited(_) => {
