--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -34,7 +34,7 @@
 use crate::config::{RetryRule, Rules, Settings};
 use crate::configuration::BuildRules;
 use crate::event::LogEvent;
-use crate::once::{AttemptBook, Ledger};
+use crate::once::{AttemptTable, Ledger};
 use crate::retry::{RetryBudget, RootAllowances};
 use crate::routing::Router;
 
@@ -85,7 +85,7 @@
     /// What was run under keys of this node.
     ledger: Ledger,
     /// What became of attempts received.
-    book: AttemptBook,
+    attempt_table: AttemptTable,
     /// The other nodes and the configuration in force.
     roster: Roster,
     /// Requests being sent on.
@@ -155,7 +155,7 @@
             allowances: RootAllowances::new(),
             budgets: HashMap::new(),
             ledger: settling::new_ledger(identity.id),
-            book: settling::new_book(),
+            attempt_table: settling::new_attempt_table(),
             roster: Roster::new(now_us, &identity, &settings, build),
             hops: HashMap::new(),
             outstanding: HashMap::new(),
@@ -269,7 +269,7 @@
         self.check_target(now_us, out);
         self.run_roster(now_us, out);
         self.allowances.expire(now_us);
-        self.book.expire(now_us);
+        self.attempt_table.expire(now_us);
         self.ledger.expire(self.unix_ms(now_us));
     }
 
--- a/src/node/receiving.rs
+++ b/src/node/receiving.rs
@@ -62,7 +62,7 @@
     ) {
         let attempt = frame.attempt;
         let deadline_us = now_us.saturating_add(frame.remaining_us);
-        match self.book.arrive(now_us, attempt, deadline_us, NO_WAY_BACK) {
+        match self.attempt_table.arrive(now_us, attempt, deadline_us, NO_WAY_BACK) {
             Arrival::New => {}
             Arrival::Repeat(verdict) => {
                 self.answer(now_us, path, &frame, verdict, out);
@@ -319,7 +319,7 @@
         out: &mut Vec<NodeAction>,
     ) {
         let until_us = now_us.saturating_add(remaining_us);
-        let verdict = match self.book.fence(now_us, attempt, until_us, NO_WAY_BACK) {
+        let verdict = match self.attempt_table.fence(now_us, attempt, until_us, NO_WAY_BACK) {
             FenceReply::Settled(verdict) => verdict,
             FenceReply::NowFenced => Verdict::not_run(RefusalReason::Fenced, 0),
             FenceReply::InProgress => {
--- a/src/node/settling.rs
+++ b/src/node/settling.rs
@@ -4,7 +4,7 @@
     AnswerFrame, ArmId, AttemptId, CallFrame, ClassRank, LoadReport, Message, NodeId, Verdict,
 };
 use crate::clock::US_PER_S;
-use crate::once::{AttemptBook, AttemptBookOptions, Ledger, LedgerOptions};
+use crate::once::{AttemptTable, AttemptTableOptions, Ledger, LedgerOptions};
 
 use super::Node;
 use super::event::{NodeAction, ReplyPath};
@@ -13,7 +13,7 @@
 
 /// How long a verdict is kept after its attempt's deadline. Whoever lost a connection asks within
 /// 1.5 s; later a watermark answers for the attempt.
-const BOOK_MARGIN_US: u64 = 3 * US_PER_S;
+const VERDICT_RETENTION_US: u64 = 3 * US_PER_S;
 
 /// The ledger of a new node.
 pub(super) fn new_ledger(owner: NodeId) -> Ledger {
@@ -21,8 +21,8 @@
 }
 
 /// The book of a new node.
-pub(super) fn new_book() -> AttemptBook {
-    AttemptBook::new(AttemptBookOptions::builder().margin_us(BOOK_MARGIN_US).build())
+pub(super) fn new_attempt_table() -> AttemptTable {
+    AttemptTable::new(AttemptTableOptions::builder().retention_us(VERDICT_RETENTION_US).build())
 }
 
 impl Node {
@@ -42,7 +42,7 @@
         self.trace_inbound(now_us, inbound, &verdict, out);
         let Some(inbound) = self.inbound.get_mut(&attempt) else { return };
         inbound.settled = true;
-        self.book.settle(now_us, attempt, &verdict);
+        self.attempt_table.settle(now_us, attempt, &verdict);
         out.push(NodeAction::Note(Note::ReceivedEnded {
             class: inbound.frame.class,
             arm: inbound.frame.arm,
--- a/src/once/attempt_book.rs
+++ b/src/once/attempt_table.rs
@@ -17,10 +17,10 @@
 
 /// The limits of an attempt table.
 #[derive(Clone, Copy, Debug, Builder)]
-pub struct AttemptBookOptions {
+pub struct AttemptTableOptions {
     /// How long a verdict is kept after the attempt's deadline, in microseconds.
     #[builder(default = 10 * US_PER_S)]
-    pub margin_us: u64,
+    pub retention_us: u64,
     /// The maximum number of recorded attempts. Beyond it the oldest refusals are evicted to the
     /// watermarks; after that, new attempts are refused. The default has room for 10,000 attempts
     /// per second that are kept for 13 s, and takes 26 MB.
@@ -118,9 +118,9 @@
 /// "not run". When the table is full, new attempts are refused; attempts that may have run are never
 /// evicted early.
 #[derive(Debug)]
-pub struct AttemptBook {
+pub struct AttemptTable {
     /// The limits.
-    options: AttemptBookOptions,
+    options: AttemptTableOptions,
     /// The recorded attempts.
     entries: HashMap<AttemptId, Entry>,
     /// The settled attempts ordered by expiry.
@@ -137,9 +137,9 @@
     unknown_origins_refused_until_us: u64,
 }
 
-impl AttemptBook {
+impl AttemptTable {
     /// Creates an empty table.
-    pub fn new(options: AttemptBookOptions) -> Self {
+    pub fn new(options: AttemptTableOptions) -> Self {
         Self {
             options,
             entries: HashMap::new(),
@@ -181,7 +181,7 @@
             }
             WatermarkStatus::New => {
                 let state = AttemptState::InProgress(vec![return_path]);
-                let keep_until_us = deadline_us.saturating_add(self.options.margin_us);
+                let keep_until_us = deadline_us.saturating_add(self.options.retention_us);
                 self.entries.insert(attempt, Entry { keep_until_us, state });
                 Arrival::New
             }
@@ -209,7 +209,7 @@
             Verdict::NotRun(refusal) => AttemptState::NotRun(*refusal),
             Verdict::MayHaveRun(doubt) => AttemptState::Doubted(*doubt),
         };
-        let keep_min_us = now_us.saturating_add(self.options.margin_us);
+        let keep_min_us = now_us.saturating_add(self.options.retention_us);
         entry.keep_until_us = entry.keep_until_us.max(keep_min_us);
         self.by_expiry.insert((entry.keep_until_us, attempt));
         if verdict.is_not_run() {
@@ -253,7 +253,7 @@
                 FenceReply::NowFenced
             }
             WatermarkStatus::New => {
-                let keep_until_us = until_us.max(now_us).saturating_add(self.options.margin_us);
+                let keep_until_us = until_us.max(now_us).saturating_add(self.options.retention_us);
                 let state = AttemptState::NotRun(refusal(RefusalReason::Fenced));
                 self.entries.insert(attempt, Entry { keep_until_us, state });
                 self.by_expiry.insert((keep_until_us, attempt));
--- a/src/once/mod.rs
+++ b/src/once/mod.rs
@@ -1,12 +1,12 @@
 //! At-most-once execution: of an idempotency key in the whole fleet, and of an attempt at the node
 //! that receives it.
 //!
-//! On each node the [`Ledger`] records the state of the keys the node owns, the [`AttemptBook`] the
+//! On each node the [`Ledger`] records the state of the keys the node owns, the [`AttemptTable`] the
 //! attempts it received and [`InFlightAttempts`] the attempts it sent. An [`Outcome`] combines the
 //! verdicts of a request's attempts. All are state machines without I/O, clock or randomness.
 //! `docs/DESIGN-once.md` describes the design and its alternatives.
 
-mod attempt_book;
+mod attempt_table;
 mod fingerprint;
 mod handover;
 mod in_flight;
@@ -15,7 +15,7 @@
 mod outcome;
 mod watermarks;
 
-pub use attempt_book::{Arrival, AttemptBook, AttemptBookOptions, FenceReply, ReturnPath};
+pub use attempt_table::{Arrival, AttemptTable, AttemptTableOptions, FenceReply, ReturnPath};
 pub use fingerprint::Fingerprint;
 pub use handover::{AdoptError, Handover, HandoverError};
 pub use in_flight::{AbandonedAttempt, CallToken, InFlightAttempts};
