--- a/src/once/attempt_table.rs
+++ b/src/once/attempt_table.rs
@@ -32,7 +32,8 @@
     /// The maximum number of recorded sending nodes; beyond it, unknown ones are refused.
     #[builder(default = 16_384)]
     pub origins_max: usize,
-    /// How long an idle sending node is recorded, in microseconds. No frame may be delayed for longer.
+    /// How long an idle sending node is recorded, in microseconds. No frame may be delayed for
+    /// longer.
     #[builder(default = 24 * 3_600 * US_PER_S)]
     pub origin_idle_us: u64,
     /// The maximum number of return paths of one attempt.
@@ -114,8 +115,8 @@
 /// deadline, and watermarks for those that were removed.
 ///
 /// An attempt that was reported "not run" never runs, and one that may have run is never reported
-/// "not run". When the table is full, new attempts are refused; attempts that may have run are never
-/// evicted early.
+/// "not run". When the table is full, new attempts are refused; attempts that may have run are
+/// never evicted early.
 #[derive(Debug)]
 pub struct AttemptTable {
     /// The limits.
@@ -241,8 +242,8 @@
             };
             return FenceReply::Settled(verdict);
         }
-        // If there is no room for the origin, its attempts are refused for at least the longest delay
-        // of a frame, which fences this one as well.
+        // If there is no room for the origin, its attempts are refused for at least the longest
+        // delay of a frame, which fences this one as well.
         let Some(watermarks) = self.origin_watermarks(now_us, attempt.origin) else {
             return FenceReply::NowFenced;
         };
@@ -289,8 +290,8 @@
         }
     }
 
-    /// Removes the watermarks of sending nodes that have been idle for `origin_idle_us`. Scans all of
-    /// them; once a minute is often enough.
+    /// Removes the watermarks of sending nodes that have been idle for `origin_idle_us`. Scans all
+    /// of them; once a minute is often enough.
     pub fn expire_idle_origins(&mut self, now_us: u64) {
         let idle_us = self.options.origin_idle_us;
         self.watermarks
@@ -324,8 +325,8 @@
             + self.answers_bytes
     }
 
-    /// Evicts the oldest refusals to the watermarks until there is room for one more attempt. Returns
-    /// whether there is room now.
+    /// Evicts the oldest refusals to the watermarks until there is room for one more attempt.
+    /// Returns whether there is room now.
     ///
     /// Under overload most attempts are refused, and the refusals must not fill the table.
     fn make_room(&mut self) -> bool {
--- a/src/once/handover.rs
+++ b/src/once/handover.rs
@@ -116,8 +116,8 @@
         self.spaces.iter().map(|space| space.entries.len()).sum()
     }
 
-    /// Whether the handover holds no key. Even then it permits the successor to run the unused keys of
-    /// the leaving node.
+    /// Whether the handover holds no key. Even then it permits the successor to run the unused keys
+    /// of the leaving node.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -126,9 +126,9 @@
 impl Ledger {
     /// Closes this ledger and returns its encoded handover to `successor`.
     ///
-    /// No key runs here afterwards. A repeated call for the same successor returns the same bytes, so
-    /// that a lost message can be sent again. If `max_bytes` is too small for all answers, the oldest
-    /// are left out and their keys are handed over as having run.
+    /// No key runs here afterwards. A repeated call for the same successor returns the same bytes,
+    /// so that a lost message can be sent again. If `max_bytes` is too small for all answers, the
+    /// oldest are left out and their keys are handed over as having run.
     ///
     /// # Errors
     ///
@@ -159,8 +159,8 @@
 
     /// Takes over the keys of a node that left.
     ///
-    /// Idempotent: keyspaces that are already held here stay unchanged, as this node may have run some
-    /// of their keys since.
+    /// Idempotent: keyspaces that are already held here stay unchanged, as this node may have run
+    /// some of their keys since.
     ///
     /// # Errors
     ///
--- a/src/once/in_flight.rs
+++ b/src/once/in_flight.rs
@@ -32,8 +32,8 @@
 
 /// Matches answers to calls by the attempt and the answering node.
 ///
-/// An answer is dropped if its attempt is not in flight or was sent to another node. An answer to an
-/// earlier attempt of a call counts like one to the latest.
+/// An answer is dropped if its attempt is not in flight or was sent to another node. An answer to
+/// an earlier attempt of a call counts like one to the latest.
 #[derive(Debug, Default)]
 pub struct InFlightAttempts {
     /// The attempts in flight.
@@ -80,8 +80,8 @@
         from_first.take_while(|(node, _)| *node == to).map(|(_, attempt)| *attempt).collect()
     }
 
-    /// Removes and returns all attempts of a call that has ended, so that they can be cancelled at the
-    /// nodes they were sent to. Later answers to them are dropped.
+    /// Removes and returns all attempts of a call that has ended, so that they can be cancelled at
+    /// the nodes they were sent to. Later answers to them are dropped.
     pub fn close(&mut self, call: CallToken) -> Vec<AbandonedAttempt> {
         let first = AttemptId { origin: NodeId(0), sequence: 0, nonce: 0 };
         let of_call = self.by_call.range((call, first)..);
--- a/src/once/keyspace.rs
+++ b/src/once/keyspace.rs
@@ -74,8 +74,8 @@
 /// All recorded keys of one owner and lifetime.
 ///
 /// The horizon is the minting time up to which keys have expired. A key is removed only once it is
-/// behind the horizon, and a key behind the horizon never runs. So a key that is neither recorded nor
-/// behind the horizon never ran.
+/// behind the horizon, and a key behind the horizon never runs. So a key that is neither recorded
+/// nor behind the horizon never ran.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Keyspace {
     /// The recorded keys, oldest first.
--- a/src/once/ledger.rs
+++ b/src/once/ledger.rs
@@ -50,8 +50,8 @@
     Run,
     /// Do not run it: this is its verdict.
     Settled(Verdict),
-    /// Do not run it: the key is running, and `finished` or `refused` will return this attempt among
-    /// those that get the same verdict.
+    /// Do not run it: the key is running, and `finished` or `refused` will return this attempt
+    /// among those that get the same verdict.
     Joined,
 }
 
@@ -170,9 +170,9 @@
 
     /// Records the verdict of the attempt that runs `key`.
     ///
-    /// After "not run" the key can run again; any other verdict is kept and the key never runs again.
-    /// Returns the attempts that get the same verdict. An attempt that does not run the key changes
-    /// nothing.
+    /// After "not run" the key can run again; any other verdict is kept and the key never runs
+    /// again. Returns the attempts that get the same verdict. An attempt that does not run the key
+    /// changes nothing.
     pub fn finished(&mut self, key: Key, attempt: AttemptId, verdict: &Verdict) -> Vec<AttemptId> {
         match verdict {
             Verdict::NotRun(_) => self.release(key, attempt, None),
@@ -272,8 +272,8 @@
         self.trim_answered();
     }
 
-    /// When `expire` next has work to do, in microseconds of the caller's clock, which reads `now_us`
-    /// at `unix_ms`.
+    /// When `expire` next has work to do, in microseconds of the caller's clock, which reads
+    /// `now_us` at `unix_ms`.
     pub fn next_wake_us(&self, now_us: u64, unix_ms: u64) -> Option<u64> {
         let wakes = self.spaces.iter().filter_map(|(id, space)| {
             let oldest_unix_ms = space.oldest_settled_unix_ms()?;
@@ -329,8 +329,8 @@
         self.len() >= self.options.entries_max
     }
 
-    /// Expires the oldest callers' keys early and moves their horizon, so that they never run again.
-    /// Returns whether there is room now.
+    /// Expires the oldest callers' keys early and moves their horizon, so that they never run
+    /// again. Returns whether there is room now.
     fn make_room(&mut self, unix_ms: u64) -> bool {
         let minted_max_unix_ms = unix_ms.saturating_sub(self.options.key_ttl_min_ms);
         let mut oldest: Option<(u64, SpaceId)> = None;
--- a/src/once/mod.rs
+++ b/src/once/mod.rs
@@ -1,9 +1,9 @@
 //! At-most-once execution: of an idempotency key in the whole fleet, and of an attempt at the node
 //! that receives it.
 //!
-//! On each node the [`Ledger`] records the state of the keys the node owns, the [`AttemptTable`] the
-//! attempts it received and [`InFlightAttempts`] the attempts it sent. An [`Outcome`] combines the
-//! verdicts of a request's attempts. All are state machines without I/O, clock or randomness.
+//! On each node the [`Ledger`] records the state of the keys the node owns, the [`AttemptTable`]
+//! the attempts it received and [`InFlightAttempts`] the attempts it sent. An [`Outcome`] combines
+//! the verdicts of a request's attempts. All are state machines without I/O, clock or randomness.
 //! `docs/DESIGN-once.md` describes the design and its alternatives.
 
 mod attempt_table;
--- a/src/once/outcome.rs
+++ b/src/once/outcome.rs
@@ -7,17 +7,17 @@
 pub enum RefusalScope {
     /// Only this request was not run; an earlier one with the same key may have run.
     Request,
-    /// No request with this key had run when the holder of the key made the decision. A verdict that
-    /// is repeated or delayed still refers to the time of the decision.
+    /// No request with this key had run when the holder of the key made the decision. A verdict
+    /// that is repeated or delayed still refers to the time of the decision.
     Key,
 }
 
 impl RefusalScope {
-    /// Returns the scope of `reason`. `from_holder` is true if the verdict is from the node that holds
-    /// the key.
+    /// Returns the scope of `reason`. `from_holder` is true if the verdict is from the node that
+    /// holds the key.
     ///
-    /// The holder checks its ledger before it admits an attempt, so its refusals cover the key, except
-    /// for those it makes without checking the key.
+    /// The holder checks its ledger before it admits an attempt, so its refusals cover the key,
+    /// except for those it makes without checking the key.
     pub fn of(reason: RefusalReason, from_holder: bool) -> Self {
         if !from_holder {
             return Self::Request;
@@ -37,8 +37,8 @@
 
 /// What the sender of a request knows about its attempts.
 ///
-/// A request was not run only if none of its attempts was run: a refusal of the last attempt does not
-/// cover an earlier one whose connection was lost.
+/// A request was not run only if none of its attempts was run: a refusal of the last attempt does
+/// not cover an earlier one whose connection was lost.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// Attempts that may have run, in the order in which they were recorded.
@@ -85,8 +85,8 @@
 
 /// Converts a verdict to the form that may be reported outside of the fleet.
 ///
-/// A refusal because the key moved to another node covers the attempt but not the key: the other node
-/// may have run the key already. A sender that cannot ask that node must not report "not run".
+/// A refusal because the key moved to another node covers the attempt but not the key: the other
+/// node may have run the key already. A sender that cannot ask that node must not report "not run".
 pub fn external_verdict(verdict: Verdict) -> Verdict {
     let Verdict::NotRun(refusal) = verdict else { return verdict };
     match refusal.reason {
--- a/src/once/watermarks.rs
+++ b/src/once/watermarks.rs
@@ -10,8 +10,8 @@
 pub(super) struct Watermarks {
     /// Attempts with a smaller sequence number may have run.
     may_have_run_below: u64,
-    /// Attempts with a smaller sequence number that are not below the other watermark and not in the
-    /// table did not run and never will.
+    /// Attempts with a smaller sequence number that are not below the other watermark and not in
+    /// the table did not run and never will.
     refused_below: u64,
     /// When the watermarks were last used, in microseconds.
     pub last_used_us: u64,
--- a/src/retry/allowance.rs
+++ b/src/retry/allowance.rs
@@ -32,8 +32,8 @@
         Self::default()
     }
 
-    /// Opens the allowance of `root`. A root that is already open keeps what it has left, so opening
-    /// it again does not refill it. A root whose deadline has passed is not opened.
+    /// Opens the allowance of `root`. A root that is already open keeps what it has left, so
+    /// opening it again does not refill it. A root whose deadline has passed is not opened.
     pub fn open(&mut self, now_us: u64, root: RootId, allowance: u8, deadline_us: u64) {
         self.expire(now_us);
         if deadline_us <= now_us || self.roots.contains_key(&root) {
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -8,15 +8,15 @@
 const FREE_REFILL_US: u64 = 10 * US_PER_S;
 /// The maximum number of free tokens.
 const FREE_TOKENS_MAX: f64 = 1.0;
-/// The balance needed for a retry: slightly less than one token, so that rounding in a sum of shares
-/// does not block a retry that was earned.
+/// The balance needed for a retry: slightly less than one token, so that rounding in a sum of
+/// shares does not block a retry that was earned.
 const RETRY_COST: f64 = 1.0 - 1e-9;
 
 /// Limits retries to a share of recent successes.
 ///
 /// Earned tokens decay, so that an hour of successes does not allow a burst of retries. One free
-/// token refills slowly, so that a nearly idle node can retry at all. Over any time span the retries
-/// number at most `share * successes + 1 + span / 10 s`.
+/// token refills slowly, so that a nearly idle node can retry at all. Over any time span the
+/// retries number at most `share * successes + 1 + span / 10 s`.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     /// The tokens earned by one success.
@@ -30,7 +30,8 @@
 }
 
 impl RetryBudget {
-    /// Creates a budget in which each success earns `share` of a retry. `share` is clamped to 0..=1.
+    /// Creates a budget in which each success earns `share` of a retry. `share` is clamped to
+    /// 0..=1.
     pub fn new(share: f64) -> Self {
         Self { share: share.clamp(0.0, 1.0), earned: 0.0, free: FREE_TOKENS_MAX, updated_us: 0 }
     }
--- a/src/retry/history.rs
+++ b/src/retry/history.rs
@@ -4,8 +4,8 @@
 
 /// The verdicts of a hop's earlier attempts.
 ///
-/// A hop may be reported "not run" only if none of its attempts may have run, whatever the verdict of
-/// the last one.
+/// A hop may be reported "not run" only if none of its attempts may have run, whatever the verdict
+/// of the last one.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptHistory {
     /// The latest verdict of an earlier attempt that ran or may have run.
--- a/src/retry/step.rs
+++ b/src/retry/step.rs
@@ -93,8 +93,8 @@
     }
 }
 
-/// The bounded rule: retries after the backoff if the attempt is expected to end before the deadline
-/// and the retry is granted.
+/// The bounded rule: retries after the backoff if the attempt is expected to end before the
+/// deadline and the retry is granted.
 fn bounded_step<R: Rng>(rule: &RetryRule, failure: &Failure<'_>, rng: &mut R) -> RetryStep {
     let backoff_us = match retryability(failure) {
         Retryability::Never => return RetryStep::Never,
@@ -162,8 +162,8 @@
     Retryability::Delayed { retry_after_ms: retry_after_ms(answer) }
 }
 
-/// Whether an attempt that may have run is retried: if its answer was lost, but not if a retry would
-/// end in the same way.
+/// Whether an attempt that may have run is retried: if its answer was lost, but not if a retry
+/// would end in the same way.
 fn doubt_retryability(doubt: Doubt) -> Retryability {
     match doubt {
         Doubt::Timeout | Doubt::ConnectionLost | Doubt::TargetBroke => {
--- a/tests/once_ledger.rs
+++ b/tests/once_ledger.rs
@@ -73,7 +73,8 @@
     assert_eq!(offer(&mut ledger, key(1), 3), Offer::Joined);
     assert_eq!(ledger.refused(key(1), attempt(1)), vec![attempt(2), attempt(3)]);
     assert_eq!(offer(&mut ledger, key(1), 4), Offer::Run);
-    // A repeated refusal of the first attempt does not free the key, which another attempt runs now.
+    // A repeated refusal of the first attempt does not free the key, which another attempt runs
+    // now.
     assert_eq!(ledger.refused(key(1), attempt(1)), Vec::new());
     assert_eq!(offer(&mut ledger, key(1), 5), Offer::Joined);
 }
--- a/tests/once_world/mod.rs
+++ b/tests/once_world/mod.rs
@@ -1,6 +1,6 @@
-//! Simulates several nodes with their ledgers and attempt tables and a network that loses, duplicates
-//! and reorders messages, and checks the invariants after each step. A [`Flaw`] disables one
-//! mechanism.
+//! Simulates several nodes with their ledgers and attempt tables and a network that loses,
+//! duplicates and reorders messages, and checks the invariants after each step. A [`Flaw`] disables
+//! one mechanism.
 
 mod node;
 mod receiver;
--- a/tests/once_world/step.rs
+++ b/tests/once_world/step.rs
@@ -17,8 +17,8 @@
     Mint { node: u8 },
     /// A node mints a key for one request.
     MintForRequest { node: u8 },
-    /// A sender makes a request with a key. It goes to the key's owner if `astray` is 0, else to the
-    /// node that `astray` selects.
+    /// A sender makes a request with a key. It goes to the key's owner if `astray` is 0, else to
+    /// the node that `astray` selects.
     Send { sender: u8, key: u8, astray: u8 },
     /// A message is delivered; if `doubled`, a copy stays in flight.
     Deliver { message: u8, doubled: bool },
