--- a/src/mesh/metrics.rs
+++ b/src/mesh/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies of the call path, and the text that is scraped.
+//! Metrics of the call path, and their rendering for scrapers.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,41 +11,43 @@
 use super::node::Node;
 use super::site::Site;
 
-/// Upper bounds of the buckets of latencies, in seconds.
-const BUCKETS_S: &[f64] = &[0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0];
-/// Requests of callers and of the target, by the route that began them and their end.
+/// Upper bounds of the latency buckets, in seconds.
+const LATENCY_BUCKETS_S: &[f64] = &[0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0];
+/// Requests of callers and of the target, by root route and outcome.
 const REQUESTS: &str = "aspenspring_mesh_requests_total";
-/// The time from the head of a request to its answer, by the route that began it.
-const LATENCY: &str = "aspenspring_mesh_request_seconds";
-/// Calls that this node ran on its target, or refused, by their end.
+/// Time from the request head to the answer, by root route.
+const LATENCIES: &str = "aspenspring_mesh_request_seconds";
+/// Calls that this node ran on its target or refused, by outcome.
 const CALLS: &str = "aspenspring_mesh_calls_total";
-/// Requests whose caller left before the answer, by when that was noticed.
+/// Requests whose caller disconnected before the answer, by when this was noticed.
 const CALLERS_LEFT: &str = "aspenspring_mesh_callers_left_total";
 
-/// Requests of callers by the team whose key let them in, and their end.
+/// Requests of callers by outcome and by the team whose key admitted them.
 const TEAM_REQUESTS: &str = "aspenspring_mesh_team_requests_total";
-/// How many teams have a counter of their own; the others share one, so that the number of series is bounded.
-const TEAMS_NAMED: usize = 20;
-/// The team by which all others are counted.
-const OTHERS: &str = "(others)";
+/// How many teams have a series of their own. All others share one, which bounds the number of
+/// series.
+const TEAM_SERIES_MAX: usize = 20;
+/// The label under which all other teams are counted.
+const OTHER_TEAMS: &str = "(others)";
 
-/// The metrics of one node. Handles are kept, so that an increment costs one look-up.
+/// The metrics of one node. Handles are cached, so that an increment costs one look-up.
 pub struct MeshMetrics {
     recorder: PrometheusRecorder,
     handle: PrometheusHandle,
     requests: RefCell<HashMap<(Rc<str>, &'static str), Counter>>,
     latencies: RefCell<HashMap<Rc<str>, Histogram>>,
     calls: RefCell<HashMap<&'static str, Counter>>,
-    left: RefCell<HashMap<&'static str, Counter>>,
-    /// Requests of each team by their end, as they are counted until they are scraped.
-    teams: RefCell<HashMap<Rc<str>, HashMap<&'static str, u64>>>,
+    callers_left: RefCell<HashMap<&'static str, Counter>>,
+    /// Requests per team and outcome since the last scrape.
+    team_requests: RefCell<HashMap<Rc<str>, HashMap<&'static str, u64>>>,
 }
 
 impl MeshMetrics {
-    /// A recorder with nothing in it.
+    /// Creates an empty recorder.
     pub fn new() -> Self {
-        // The only error is an empty list of buckets; then a plain summary is kept instead.
-        let builder = PrometheusBuilder::new().set_buckets(BUCKETS_S);
+        // `set_buckets` fails only for an empty list of buckets; the fallback keeps plain
+        // summaries.
+        let builder = PrometheusBuilder::new().set_buckets(LATENCY_BUCKETS_S);
         let recorder = builder.unwrap_or_else(|_| PrometheusBuilder::new()).build_recorder();
         let handle = recorder.handle();
         Self {
@@ -54,13 +56,13 @@
             requests: RefCell::default(),
             latencies: RefCell::default(),
             calls: RefCell::default(),
-            left: RefCell::default(),
-            teams: RefCell::default(),
+            callers_left: RefCell::default(),
+            team_requests: RefCell::default(),
         }
     }
 
-    /// Counts a request with its end, and how long it took in seconds.
-    pub fn note_request(&self, root: &Rc<str>, end: &'static str, took_s: f64) {
+    /// Counts a request by outcome, and records its latency in seconds.
+    pub fn record_request(&self, root: &Rc<str>, end: &'static str, took_s: f64) {
         let mut requests = self.requests.borrow_mut();
         let counter = requests.entry((Rc::clone(root), end)).or_insert_with(|| {
             let root = root.to_string();
@@ -70,13 +72,13 @@
         let mut latencies = self.latencies.borrow_mut();
         let histogram = latencies.entry(Rc::clone(root)).or_insert_with(|| {
             let root = root.to_string();
-            with_local_recorder(&self.recorder, || histogram!(LATENCY, "root" => root))
+            with_local_recorder(&self.recorder, || histogram!(LATENCIES, "root" => root))
         });
         histogram.record(took_s);
     }
 
-    /// Counts a call for the target with its end.
-    pub fn note_call(&self, end: &'static str) {
+    /// Counts a call for the target by outcome.
+    pub fn record_call(&self, end: &'static str) {
         let mut calls = self.calls.borrow_mut();
         let counter = calls.entry(end).or_insert_with(|| {
             with_local_recorder(&self.recorder, || counter!(CALLS, "end" => end))
@@ -84,21 +86,21 @@
         counter.increment(1);
     }
 
-    /// Counts a request whose caller has left.
-    pub fn note_left(&self, noticed: &'static str) {
-        let mut left = self.left.borrow_mut();
-        let counter = left.entry(noticed).or_insert_with(|| {
+    /// Counts a request whose caller has disconnected.
+    pub fn record_caller_left(&self, noticed: &'static str) {
+        let mut counters = self.callers_left.borrow_mut();
+        let counter = counters.entry(noticed).or_insert_with(|| {
             with_local_recorder(&self.recorder, || counter!(CALLERS_LEFT, "noticed" => noticed))
         });
         counter.increment(1);
     }
 
-    /// Counts a request of a team with its end. A request without a team is not counted.
-    pub fn note_team(&self, team: &Rc<str>, end: &'static str) {
+    /// Counts a request of a team by outcome. A request without a team is not counted.
+    pub fn record_team_request(&self, team: &Rc<str>, end: &'static str) {
         if team.is_empty() {
             return;
         }
-        let mut teams = self.teams.borrow_mut();
+        let mut teams = self.team_requests.borrow_mut();
         if let Some(ends) = teams.get_mut(team) {
             *ends.entry(end).or_default() += 1;
             return;
@@ -106,12 +108,13 @@
         teams.insert(Rc::clone(team), HashMap::from([(end, 1)]));
     }
 
-    /// Moves what was counted of teams into their counters: the teams with the largest quotas have one each,
-    /// all others one together.
+    /// Moves the counts per team into counters. The teams with the largest quotas have one series
+    /// each, all others share one.
     fn publish_teams(&self, site: &Site) {
-        let named = site.teams.largest(TEAMS_NAMED);
-        for (team, ends) in self.teams.borrow_mut().drain() {
-            let label = if named.contains(&team) { team.to_string() } else { OTHERS.to_owned() };
+        let labelled = site.teams.largest(TEAM_SERIES_MAX);
+        for (team, ends) in self.team_requests.borrow_mut().drain() {
+            let label =
+                if labelled.contains(&team) { team.to_string() } else { OTHER_TEAMS.to_owned() };
             for (end, count) in ends {
                 let label = label.clone();
                 let counter = with_local_recorder(
@@ -123,7 +126,7 @@
         }
     }
 
-    /// The text that is scraped, with the node's state at this moment.
+    /// Renders the metrics for a scraper, with the current state of the node.
     pub fn render(&self, node: &Node) -> String {
         let load = node.target.load();
         for (name, value) in [
@@ -148,11 +151,11 @@
             self.publish_teams(&site);
             for route in site.routes() {
                 let name = route.name.to_string();
-                let passing = with_local_recorder(
+                let admitted = with_local_recorder(
                     &self.recorder,
                     || gauge!("aspenspring_mesh_admitted_share", "root" => name),
                 );
-                passing.set(node.overload.passing(&route));
+                admitted.set(node.overload.passing(&route));
             }
         }
         self.handle.run_upkeep();
@@ -164,7 +167,7 @@
     }
 }
 
-/// 1 for a node that follows the store, 0 for one that hears of changes from others.
+/// 1 for a node that follows the store, 0 for one that learns of changes from its peers.
 fn follows_store(node: &Node) -> f64 {
     match node.store_watch.role() {
         Role::Follows | Role::Substitutes => 1.0,
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -1,7 +1,7 @@
-//! The call path of a node: callers in, other nodes, the target beside it, and back.
+//! The call path of a node: from callers to a target, beside this node or beside a peer, and back.
 //!
-//! All of it runs in one thread: on a VM with less than half a core a handoff between threads costs
-//! more than a whole decision. docs/DESIGN-platform.md has the figures.
+//! All tasks run in one thread: on a VM with less than half a core, handing work to another thread
+//! costs more than a whole routing decision. docs/DESIGN-platform.md has the figures.
 
 pub mod ancestry;
 pub mod blame;
--- a/src/mesh/node.rs
+++ b/src/mesh/node.rs
@@ -1,4 +1,4 @@
-//! The state of a node, shared by its tasks. All of them run in one thread.
+//! The state of a node, shared by its tasks, all of which run in one thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -32,95 +32,96 @@
 use super::teams::quota::Quotas;
 use super::vocabulary::Vocabulary;
 
-/// How long a route by which requests have reached the target is remembered as such.
-const ROOTS_REMEMBERED: Duration = Duration::from_secs(20);
-/// After this time a configuration that was asked for and did not come is asked for elsewhere.
-const SITE_PATIENCE: Duration = Duration::from_millis(300);
-/// How many nodes are asked for others, by a node that cannot read of them in the store.
-const NEIGHBOURS_ASKED_MAX: u32 = 3;
-/// The part of the grace for which a stopping node takes calls for its target. The longest runs take
-/// half of the grace, and so end within it.
-const STOP_TAKES_CALLS_SHARE: f64 = 1.0 / 3.0;
-/// The steps in which other nodes are told of the share of failures, in hundredths: a share fades all
-/// the time, and less than a tenth of failures makes no difference.
+/// How long a root route is reported after its last request reached the target.
+const ROOT_TTL: Duration = Duration::from_secs(20);
+/// A configuration that was requested and has not arrived after this time is requested again.
+const SITE_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
+/// How many peers are asked for the nodes they know, where the node cannot read the list in the
+/// store.
+const NEIGHBOUR_REQUESTS_MAX: u32 = 3;
+/// The part of the stop grace during which a stopping node still accepts calls for its target. The
+/// longest runs take half of the grace, so those accepted last still finish within it.
+const STOP_ACCEPT_SHARE: f64 = 1.0 / 3.0;
+/// The share of failures is rounded down to this step before peers are told: it decays all the
+/// time, and less than a tenth of failures makes no difference.
 const FAILING_STEP_PERCENT: u8 = 5;
-/// How often it is looked whether requests of a route have begun to be refused, or no longer are.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+/// How often the log is brought up to date on which routes are being shed.
+const ADMISSION_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reads a configuration in the form in which the platform's adapter holds it.
+/// Parses a configuration document in the format of the platform adapter.
 pub type ReadSite = Box<dyn Fn(&[u8]) -> eyre::Result<Site>>;
 
-/// The configuration in force, and the document it was read from.
+/// The active configuration, and the document it was parsed from.
 #[derive(Clone, Debug)]
-pub struct InForce {
-    /// The configuration.
+pub struct ActiveSite {
+    /// The parsed configuration.
     pub site: Rc<Site>,
-    /// The document.
+    /// The document as received.
     pub document: Bytes,
 }
 
 /// The state of a node.
 pub struct Node {
-    /// What it was told at its start.
+    /// The start-up settings.
     pub settings: MeshSettings,
-    /// The names of the headers it reads and writes.
+    /// The names of the headers that the node reads and writes.
     pub vocabulary: Vocabulary,
-    /// The other nodes.
+    /// The peers.
     pub directory: Directory,
     /// The target beside the node.
     pub target: Target,
-    /// Which requests are admitted.
+    /// Admission of callers' requests.
     pub overload: Overload,
-    /// What the target is running.
+    /// The requests that the target is running.
     pub ancestry: Ancestry,
     /// The quotas of teams.
     pub quotas: Quotas,
-    /// Which requests have run on targets as they ended.
+    /// Requests that were running on targets that crashed.
     pub quarantine: Quarantine,
-    /// The routes by which requests began that reach the target, and when one did last.
-    roots: RefCell<HashMap<String, Instant>>,
-    /// The version that a newer configuration was asked for last, and when.
-    site_asked: Cell<Option<(u64, Instant)>>,
-    /// How many nodes were asked for others.
-    neighbours_asked: Cell<u32>,
-    /// When it was looked last which routes are refused.
-    reported: Cell<Option<Instant>>,
-    /// The routes of which requests are refused for want of room, as they were reported.
-    refused_routes: RefCell<HashSet<Rc<str>>>,
-    /// Shares the requests of split routes.
+    /// The root routes of requests that reached the target, and when each last did.
+    recent_roots: RefCell<HashMap<String, Instant>>,
+    /// The version at which a newer configuration was last requested, and when.
+    last_site_request: Cell<Option<(u64, Instant)>>,
+    /// How many peers were asked for the nodes they know.
+    neighbour_requests: Cell<u32>,
+    /// When the log was last brought up to date on which routes are being shed.
+    admission_logged: Cell<Option<Instant>>,
+    /// The routes last logged as being shed.
+    shed_routes: RefCell<HashSet<Rc<str>>>,
+    /// Distributes the requests of split routes among services.
     pub splitter: Splitter,
-    /// How many repeats may be sent.
+    /// The retry budgets.
     pub budgets: RetryBudgets,
-    /// The random numbers of its choices.
+    /// The random number generator for routing and admission.
     pub rng: RefCell<SmallRng>,
-    /// Requests of callers that were taken in and not answered.
+    /// Requests of callers that were accepted and not yet answered.
     pub in_flight: Cell<usize>,
-    /// Calls of other nodes that are waiting or running.
+    /// Calls of this node and its peers that wait for the target or run on it.
     pub serving: Cell<usize>,
-    /// Bytes of request bodies held.
+    /// Bytes of request bodies held in memory.
     pub held_bytes: Cell<usize>,
-    /// Where events are logged.
+    /// The event log.
     pub log: EventLog,
-    /// What is counted.
+    /// The metrics.
     pub metrics: MeshMetrics,
-    /// Whether other nodes have been looked for.
+    /// Whether discovery of peers has been attempted; the node is not ready before.
     pub has_looked_around: Cell<bool>,
-    /// Whether all other nodes were read of in the store.
+    /// Whether the list of all nodes has been read from the store.
     pub has_read_nodes: Cell<bool>,
-    /// The store, and this node's part in following it.
+    /// The state of the store, and this node's role in following it.
     pub store_watch: StoreWatch,
-    in_force: RefCell<Option<InForce>>,
+    active_site: RefCell<Option<ActiveSite>>,
     read_site: ReadSite,
     /// When the node was told to stop.
     stopping_since: Cell<Option<Instant>>,
-    /// The links on which other nodes call this one, and what they were told.
+    /// The links on which peers call this node, and what each was last told.
     pub callers: Callers,
     /// The links that this node has dialled.
     dialled: RefCell<Vec<Rc<Link>>>,
 }
 
 impl Node {
-    /// A node that knows nothing yet but its settings.
+    /// Creates a node that knows only its settings.
     pub fn new(
         settings: MeshSettings,
         vocabulary: Vocabulary,
@@ -138,11 +139,11 @@
                 settings.teams.tolerance(),
             ),
             quarantine: Quarantine::default(),
-            roots: RefCell::default(),
-            site_asked: Cell::default(),
-            neighbours_asked: Cell::default(),
-            reported: Cell::default(),
-            refused_routes: RefCell::default(),
+            recent_roots: RefCell::default(),
+            last_site_request: Cell::default(),
+            neighbour_requests: Cell::default(),
+            admission_logged: Cell::default(),
+            shed_routes: RefCell::default(),
             splitter: Splitter::default(),
             budgets: RetryBudgets::new(&settings.retry),
             rng: RefCell::new(SmallRng::from_os_rng()),
@@ -154,7 +155,7 @@
             has_looked_around: Cell::default(),
             has_read_nodes: Cell::default(),
             store_watch: StoreWatch::default(),
-            in_force: RefCell::default(),
+            active_site: RefCell::default(),
             read_site,
             stopping_since: Cell::default(),
             callers: Callers::new(&settings.node.failure_domain, settings.overload.policy),
@@ -164,22 +165,23 @@
         }
     }
 
-    /// The configuration in force, where one is known.
+    /// The active configuration, if any.
     pub fn site(&self) -> Option<Rc<Site>> {
-        self.in_force.borrow().as_ref().map(|in_force| Rc::clone(&in_force.site))
+        self.active_site.borrow().as_ref().map(|active_site| Rc::clone(&active_site.site))
     }
 
-    /// The configuration in force with its document.
-    pub fn in_force(&self) -> Option<InForce> {
-        self.in_force.borrow().clone()
+    /// The active configuration with its document, if any.
+    pub fn active_site(&self) -> Option<ActiveSite> {
+        self.active_site.borrow().clone()
     }
 
-    /// The version of the configuration in force; 0 where none is known.
+    /// The version of the active configuration; 0 if there is none.
     pub fn site_version(&self) -> u64 {
-        self.in_force.borrow().as_ref().map_or(0, |in_force| in_force.site.version)
+        self.active_site.borrow().as_ref().map_or(0, |active_site| active_site.site.version)
     }
 
-    /// Takes in a configuration. Says whether it is in force now; an older one never is.
+    /// Activates a configuration if it is newer than the active one. Returns whether it was
+    /// activated.
     pub fn take_document(
         &self,
         document: &Bytes,
@@ -190,23 +192,23 @@
             return Ok(false);
         }
         self.log.emit(&LogEvent::ConfigInForce { config_version: site.version, learned_from });
-        let in_force = InForce { site: Rc::new(site), document: document.clone() };
-        self.in_force.replace(Some(in_force));
+        let active_site = ActiveSite { site: Rc::new(site), document: document.clone() };
+        self.active_site.replace(Some(active_site));
         Ok(true)
     }
 
-    /// Takes in what the target beside the node says of itself.
+    /// Applies a heartbeat of the target beside the node.
     ///
     /// # Errors
     ///
-    /// A heartbeat that names a service unknown to the configuration, or no slots, is somebody
-    /// else's or a mistake. It is refused, and what is believed of the target holds.
+    /// A heartbeat that names a service unknown to the configuration, or no slots, comes from a
+    /// foreign target or is a mistake. It is rejected and leaves the state of the target unchanged.
     pub fn take_heartbeat(&self, heartbeat: &Heartbeat) -> eyre::Result<()> {
         if heartbeat.slots == 0 {
-            bail!("a target without slots");
+            bail!("the heartbeat states 0 slots");
         }
-        if self.site().is_some_and(|site| !site.may_have(&heartbeat.service)) {
-            bail!("the configuration names no service {:?}", heartbeat.service);
+        if self.site().is_some_and(|site| !site.expects_service(&heartbeat.service)) {
+            bail!("service {:?} is not in the configuration", heartbeat.service);
         }
         if self.target.take_heartbeat(heartbeat) {
             self.target_changed("heartbeat");
@@ -214,7 +216,7 @@
         Ok(())
     }
 
-    /// Whether the node takes new requests of callers.
+    /// Whether the node accepts new requests of callers.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.has_looked_around.get() && self.site_version() > 0
     }
@@ -224,26 +226,27 @@
         self.stopping_since.get().is_some()
     }
 
-    /// Whether the target beside the node still takes calls.
+    /// Whether the node still accepts calls for the target beside it.
     ///
-    /// A node that was told to stop goes on serving its target for a part of its grace: the target has
-    /// not gone, and while a node restarts nobody reaches it. What is taken in then is finished in the
-    /// rest of the grace.
+    /// A node that was told to stop keeps serving its target for a part of the grace: the target is
+    /// still up, and cannot be reached while its node restarts. Calls accepted until then finish
+    /// within the rest of the grace.
     pub fn takes_calls(&self) -> bool {
         let grace = Duration::from_millis(self.settings.timing.stop_grace_ms);
-        let until = grace.mul_f64(STOP_TAKES_CALLS_SHARE);
+        let until = grace.mul_f64(STOP_ACCEPT_SHARE);
         self.stopping_since.get().is_none_or(|since| since.elapsed() < until)
     }
 
-    /// Whether a request that came now would most likely be cut off by the end of the process.
+    /// Whether a request that arrived now would most likely be cut off by the end of the process.
     ///
-    /// Callers are told that the node stops, but may have nowhere else to go.
+    /// Requests are accepted until then, as callers are told that the node is stopping but may have
+    /// nowhere else to go.
     pub fn is_closing(&self) -> bool {
         let grace = Duration::from_millis(self.settings.timing.stop_grace_ms);
         self.stopping_since.get().is_some_and(|since| since.elapsed() > grace / 2)
     }
 
-    /// Begins to stop. What is still taken in is told by `is_ready`, `takes_calls` and `is_closing`.
+    /// Begins to stop. `is_ready`, `takes_calls` and `is_closing` tell what is still accepted.
     pub fn stop(&self) {
         self.stopping_since.set(Some(Instant::now()));
         self.tell_status();
@@ -255,7 +258,7 @@
         current.map_or_else(|| self.settings.node.service.clone(), |known| known.service.clone())
     }
 
-    /// Tells other nodes, and the log, that what is believed of the target has changed.
+    /// Logs that the state of the target has changed, and tells the peers.
     pub fn target_changed(&self, learned_from: &'static str) {
         let current = self.target.current();
         let state = match &current {
@@ -273,7 +276,7 @@
         self.tell_status();
     }
 
-    /// The state of the node.
+    /// The status of the node, as sent to peers.
     pub fn status(&self) -> Status {
         let current = self.target.current();
         Status {
@@ -294,16 +297,16 @@
         }
     }
 
-    /// The share of the target's answers that were failures of late, in hundredths.
+    /// The share of the target's recent answers that were failures, in percent.
     fn failing_percent(&self) -> u8 {
         let steps =
             (self.target.failing.share(Instant::now()) * 100.0) as u8 / FAILING_STEP_PERCENT;
         steps * FAILING_STEP_PERCENT
     }
 
-    /// What the target does for requests of each route.
+    /// How many requests of each root route the target is running.
     fn root_work(&self) -> Vec<RootWork> {
-        let roots = self.roots.borrow();
+        let roots = self.recent_roots.borrow();
         let of_root = |root: &String| RootWork {
             root: root.clone(),
             running: self.ancestry.running_of(root) as u32,
@@ -313,10 +316,10 @@
         work
     }
 
-    /// Notes that a request that began by the route `root` has reached the target.
-    pub fn note_root(&self, root: &str) {
+    /// Records that a request of the route `root` has reached the target.
+    pub fn record_root(&self, root: &str) {
         let now = Instant::now();
-        let mut roots = self.roots.borrow_mut();
+        let mut roots = self.recent_roots.borrow_mut();
         if let Some(last) = roots.get_mut(root) {
             *last = now;
             return;
@@ -324,18 +327,19 @@
         roots.insert(root.to_owned(), now);
     }
 
-    /// Adjusts what is admitted, and tells other nodes where the target's work has changed a lot.
+    /// Periodic upkeep: sends load reports that are due, requests a newer configuration, updates
+    /// the role in following the store, and adjusts quotas and admission.
     pub fn adjust(&self) {
-        self.roots.borrow_mut().retain(|_, last| last.elapsed() < ROOTS_REMEMBERED);
+        self.recent_roots.borrow_mut().retain(|_, last| last.elapsed() < ROOT_TTL);
         let status = self.status();
         let (near, all) = self.directory.siblings(&status.service);
         self.callers.tell_what_is_due(&status, near + 1, all + 1);
         let newer =
             self.directory.with_newer_site(self.site_version(), &mut *self.rng.borrow_mut());
         if let Some(link) = newer {
-            self.ask_for_site(&link);
+            self.request_site(&link);
         }
-        self.follow_store();
+        self.update_store_role();
         let Some(site) = self.site() else { return };
         if !site.teams.is_empty() {
             let fleet = self.directory.fleet(self.is_stopping());
@@ -345,46 +349,46 @@
         let services = self.directory.services(&status);
         let entries = self.directory.linked() + 1;
         self.overload.adjust(&services, site.rank_max(), entries);
-        if self.reported.get().is_none_or(|last| last.elapsed() >= REPORT_EVERY) {
-            self.reported.set(Some(Instant::now()));
-            self.report_admission(&site, &services);
+        if self.admission_logged.get().is_none_or(|last| last.elapsed() >= ADMISSION_LOG_INTERVAL) {
+            self.admission_logged.set(Some(Instant::now()));
+            self.log_admission(&site, &services);
         }
     }
 
-    /// Asks for the configuration where the other node has a newer one.
-    pub fn want_site(&self, status: &Status, link: &Link) {
+    /// Requests the configuration from a peer that has a newer one.
+    pub fn request_newer_site(&self, status: &Status, link: &Link) {
         if status.site_version > self.site_version() {
-            self.ask_for_site(link);
+            self.request_site(link);
         }
     }
 
-    /// Asks for the configuration, unless it was asked for a moment ago. Where a new version comes up,
-    /// all links tell of it at once; one copy is enough.
-    fn ask_for_site(&self, link: &Link) {
+    /// Requests the configuration, unless a request is pending. A new version is announced on all
+    /// links at once; one copy is enough.
+    fn request_site(&self, link: &Link) {
         let version = self.site_version();
-        let is_asked = self
-            .site_asked
+        let is_pending = self
+            .last_site_request
             .get()
-            .is_some_and(|(asked, at)| asked == version && at.elapsed() < SITE_PATIENCE);
-        if is_asked {
+            .is_some_and(|(asked, at)| asked == version && at.elapsed() < SITE_REQUEST_TIMEOUT);
+        if is_pending {
             return;
         }
-        self.site_asked.set(Some((version, Instant::now())));
+        self.last_site_request.set(Some((version, Instant::now())));
         link.send(&Frame::SiteWanted);
     }
 
-    /// Whether another node is to be asked for the nodes that it knows.
-    pub fn wants_neighbours(&self) -> bool {
-        let asked = self.neighbours_asked.get();
-        if self.has_read_nodes.get() || asked >= NEIGHBOURS_ASKED_MAX {
+    /// Whether a peer is to be asked for the nodes it knows. Counts the request if so.
+    pub fn try_neighbour_request(&self) -> bool {
+        let asked = self.neighbour_requests.get();
+        if self.has_read_nodes.get() || asked >= NEIGHBOUR_REQUESTS_MAX {
             return false;
         }
-        self.neighbours_asked.set(asked + 1);
+        self.neighbour_requests.set(asked + 1);
         true
     }
 
-    /// Decides whether this node follows the store, for itself and for others.
-    fn follow_store(&self) {
+    /// Updates this node's role: whether it follows the store for itself and its peers.
+    fn update_store_role(&self) {
         let (with_store, all) = self.directory.near_before();
         if self.store_watch.take_place(with_store, all) {
             let role = self.store_watch.role().name();
@@ -393,12 +397,12 @@
         }
     }
 
-    /// Writes which routes have begun to be refused for want of room, or no longer are.
-    fn report_admission(&self, site: &Site, services: &HashMap<String, ServiceView>) {
-        let mut refused = self.refused_routes.borrow_mut();
+    /// Logs which routes have begun or ceased to be shed for lack of capacity.
+    fn log_admission(&self, site: &Site, services: &HashMap<String, ServiceView>) {
+        let mut refused = self.shed_routes.borrow_mut();
         for route in site.routes() {
-            let passing = self.overload.passing(&route);
-            let is_refused = passing < 1.0;
+            let probability = self.overload.passing(&route);
+            let is_refused = probability < 1.0;
             if refused.contains(&route.name) == is_refused {
                 continue;
             }
@@ -412,7 +416,7 @@
             self.log.emit(&LogEvent::AdmissionChanged {
                 root: route.name.to_string(),
                 limited_by,
-                admitted_percent: (passing * 100.0) as u32,
+                admitted_percent: (probability * 100.0) as u32,
                 running: load.running,
                 waiting: load.waiting,
                 limit: load.limit,
@@ -420,9 +424,9 @@
         }
     }
 
-    /// What the node says of itself when it meets another one.
+    /// The first frame on a new link.
     ///
-    /// `left_incarnations` are those of the other node's target that are known to have left.
+    /// `left_incarnations` are the incarnations of the peer's target that are known to have left.
     pub fn hello(&self, left_incarnations: Vec<Incarnation>) -> Hello {
         Hello {
             address: self.settings.listen.peers,
@@ -432,7 +436,7 @@
         }
     }
 
-    /// Tells the state of the node to all that call it.
+    /// Sends the status of the node to all peers that call it.
     pub fn tell_status(&self) {
         self.callers.tell_status(&self.status());
     }
@@ -453,7 +457,7 @@
     }
 }
 
-/// Counts something for as long as it lasts.
+/// Adds an amount to a counter until dropped.
 pub struct Counted<'a> {
     counter: &'a Cell<usize>,
     amount: usize,
--- a/src/mesh/overload.rs
+++ b/src/mesh/overload.rs
@@ -1,10 +1,10 @@
-//! Refuses requests at the entry that a service further down has no room for.
+//! Admission control: sheds requests at the entry for services that are overloaded further down.
 //!
-//! A request that fails at its seventh inner call has wasted all that it ran, so the only cheap place
-//! to refuse is before its first run. Every node hears what all targets have to do, and by which
-//! routes the requests began that reach them; so each entry can tell which of its routes lead to a
-//! busy service. Of these, the least important are refused first. What was admitted is carried
-//! through.
+//! A request that fails at its seventh inner call has wasted all the work before it, so shedding is
+//! cheap only before the first run. Every node knows the load of all targets, and the root routes
+//! of the requests that reach them, so each entry can tell which of its routes lead to an
+//! overloaded service. It sheds the least important of these first. A request that was admitted is
+//! not shed later.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -19,35 +19,36 @@
 use super::site::Route;
 use super::window::Window;
 
-/// How often it is adjusted what is admitted.
+/// How often admission is adjusted.
 pub const ADJUST_EVERY: Duration = Duration::from_millis(100);
-/// How many requests an entry may have in flight for its share of a service's slots before it has
-/// learnt more: a request is at each service for a part of its time only.
-const FAIR_FACTOR: f64 = 2.0;
+/// How many requests an entry may have in flight for each slot in its fair share of a service,
+/// before it has measurements. More than one, as a request spends only a part of its time at each
+/// service.
+const FAIR_SHARE_FACTOR: f64 = 2.0;
 
 /// What a node knows of one service.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceView {
-    /// What its targets have to do, all together.
+    /// The load of its targets, summed.
     pub load: Load,
-    /// The routes by which the requests began that reach its targets, and how many of each run.
+    /// The root routes of the requests that reach its targets, and how many of each are running.
     pub roots: HashMap<String, u32>,
 }
 
-/// How it is decided what is admitted.
+/// How admission is decided.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
     /// Everything is admitted; targets refuse what does not fit into their queues.
     Open,
-    /// The probability of admission follows the work of the targets.
+    /// Each request is admitted with a probability that follows the load of the targets.
     Levels,
-    /// The number of requests in flight is bounded by what the targets' work shows that they can bear.
+    /// The number of requests in flight is bounded, by a bound learnt from the load of the targets.
     #[default]
     Windows,
 }
 
-/// A request that was admitted, until dropped.
+/// Counts an admitted request as in flight until dropped.
 #[derive(Debug)]
 pub struct Admitted(Rc<Cell<u32>>);
 
@@ -57,30 +58,32 @@
     }
 }
 
-/// Which requests are admitted.
+/// The state of admission at one entry.
 #[derive(Debug, Default)]
 pub struct Overload {
     policy: Policy,
-    /// Requests of each route that were admitted here and have no final answer yet.
+    /// Requests in flight per route that were admitted here.
     in_flight: RefCell<HashMap<Rc<str>, Rc<Cell<u32>>>>,
-    /// How many of them may be in flight that reach each service.
+    /// The bound on requests in flight that reach each service.
     windows: RefCell<HashMap<String, Window>>,
-    /// What the policy `Levels` goes by.
+    /// State of the policy `Levels`.
     levels: Levels,
 }
 
 impl Overload {
-    /// Admits by `policy`.
+    /// Creates the state for `policy`.
     pub fn new(policy: Policy) -> Self {
         Self { policy, ..Self::default() }
     }
 
-    /// Admits a request of a caller on `route`, or refuses it. `rank` is that of its team or of its route.
+    /// Admits or refuses a request of a caller on `route`. `rank` is the rank of the request, which
+    /// depends on its team and its route.
     pub fn admit(&self, route: &Route, rank: u8, rng: &mut impl Rng) -> Option<Admitted> {
-        let passing = self.passing_at(route, rank);
-        let is_admitted = passing >= 1.0 || (passing > 0.0 && rng.random::<f64>() < passing);
+        let probability = self.admission_probability_at(route, rank);
+        let is_admitted =
+            probability >= 1.0 || (probability > 0.0 && rng.random::<f64>() < probability);
         if !is_admitted {
-            self.note_refusal(route);
+            self.record_refusal(route);
             return None;
         }
         let mut in_flight = self.in_flight.borrow_mut();
@@ -92,8 +95,8 @@
         Some(Admitted(count))
     }
 
-    /// Adjusts what is admitted to what the services have to do. `rank_max` is the least important
-    /// rank, `entries` the number of nodes at which requests come in.
+    /// Adjusts admission to the load of the services. `rank_max` is the least important rank,
+    /// `entries` the number of nodes that accept requests of callers.
     pub fn adjust(&self, services: &HashMap<String, ServiceView>, rank_max: u8, entries: usize) {
         let top = f64::from(rank_max) + 1.0;
         match self.policy {
@@ -103,33 +106,36 @@
         }
     }
 
-    /// The probability with which a request of a caller on `route` is admitted.
+    /// The probability that a request of a caller on `route` is admitted.
     pub fn passing(&self, route: &Route) -> f64 {
-        self.passing_at(route, route.rank)
+        self.admission_probability_at(route, route.rank)
     }
 
-    /// The same for a request whose rank may be another than that of its route.
-    pub fn passing_at(&self, route: &Route, rank: u8) -> f64 {
+    /// The same for a request whose rank may differ from that of its route.
+    pub fn admission_probability_at(&self, route: &Route, rank: u8) -> f64 {
         match self.policy {
             Policy::Open => 1.0,
             Policy::Levels => self.levels.passing(route, rank),
-            Policy::Windows => self.narrowest(route, rank, |passing, _| passing).unwrap_or(1.0),
+            Policy::Windows => {
+                self.tightest(route, rank, |probability, _| probability).unwrap_or(1.0)
+            }
         }
     }
 
-    /// The service for whose want of room requests of `route` are refused, where some are.
+    /// The service whose lack of capacity makes requests of `route` be shed, if any.
     pub fn limited_by(&self, route: &Route) -> Option<String> {
         match self.policy {
             Policy::Open => None,
             Policy::Levels => self.levels.limited_by(route).filter(|_| self.passing(route) < 1.0),
             Policy::Windows => {
-                let name = |passing: f64, name: &str| (passing < 1.0).then(|| name.to_owned());
-                self.narrowest(route, route.rank, name).flatten()
+                let name =
+                    |probability: f64, name: &str| (probability < 1.0).then(|| name.to_owned());
+                self.tightest(route, route.rank, name).flatten()
             }
         }
     }
 
-    /// Adjusts how many requests may be in flight that reach each service.
+    /// Adjusts the bound on requests in flight for each service.
     fn adjust_windows(&self, services: &HashMap<String, ServiceView>, top: f64, entries: usize) {
         let mut windows = self.windows.borrow_mut();
         windows.retain(|service, _| services.contains_key(service));
@@ -137,12 +143,12 @@
             if view.load.limit == 0 {
                 continue;
             }
-            let work = f64::from(view.load.running + view.load.waiting);
-            let work_share = work / f64::from(view.load.limit);
+            let requests = f64::from(view.load.running + view.load.waiting);
+            let utilisation = requests / f64::from(view.load.limit);
             let in_flight = self.in_flight_through(view.roots.keys());
             if let Some(window) = windows.get_mut(service) {
-                let fair = f64::from(view.load.limit) / entries.max(1) as f64 * FAIR_FACTOR;
-                window.adjust(work_share, in_flight, top, fair);
+                let fair = f64::from(view.load.limit) / entries.max(1) as f64 * FAIR_SHARE_FACTOR;
+                window.adjust(utilisation, in_flight, top, fair);
                 window.set_roots(view.roots.keys());
                 continue;
             }
@@ -150,44 +156,39 @@
         }
     }
 
-    /// Notes that a request of `route` was refused, at the services that it would have reached.
-    fn note_refusal(&self, route: &Route) {
+    /// Records the refusal of a request of `route` at the services it would have reached.
+    fn record_refusal(&self, route: &Route) {
         for window in self.windows.borrow().values() {
             if window.is_reached_by(&route.name) {
-                window.note_refusal();
+                window.record_refusal();
             }
         }
     }
 
-    /// Requests in flight of the given routes.
+    /// The number of requests in flight on the given routes.
     fn in_flight_through<'a>(&self, roots: impl Iterator<Item = &'a String>) -> f64 {
         let in_flight = self.in_flight.borrow();
         let counts = roots.filter_map(|root| in_flight.get(root.as_str()));
         counts.map(|count| f64::from(count.get())).sum()
     }
 
-    /// Hands to `take` the probability of admission by the service with the least room of those that
-    /// `route` reaches, and its name.
-    fn narrowest<T>(
-        &self,
-        route: &Route,
-        rank: u8,
-        take: impl FnOnce(f64, &str) -> T,
-    ) -> Option<T> {
+    /// Finds the service with the lowest probability of admission among those that `route` reaches,
+    /// and passes that probability and the service's name to `take`.
+    fn tightest<T>(&self, route: &Route, rank: u8, take: impl FnOnce(f64, &str) -> T) -> Option<T> {
         let windows = self.windows.borrow();
         let own = self.in_flight.borrow().get(&route.name).map_or(0, |own| own.get());
-        let mut narrowest: Option<(f64, &String)> = None;
+        let mut tightest: Option<(f64, &String)> = None;
         for (service, window) in windows.iter() {
             if !window.is_reached_by(&route.name) {
                 continue;
             }
             let in_flight = self.in_flight_through(window.roots());
             let by_rank = window.passing(in_flight, rank);
-            let passing = by_rank.max(window.passing_by_reserve(f64::from(own)));
-            if narrowest.is_none_or(|(least, _)| passing < least) {
-                narrowest = Some((passing, service));
+            let probability = by_rank.max(window.admission_probability_by_reserve(f64::from(own)));
+            if tightest.is_none_or(|(least, _)| probability < least) {
+                tightest = Some((probability, service));
             }
         }
-        narrowest.map(|(passing, service)| take(passing, service))
+        tightest.map(|(probability, service)| take(probability, service))
     }
 }
--- a/src/mesh/peers.rs
+++ b/src/mesh/peers.rs
@@ -1,4 +1,4 @@
-//! Links to the other nodes: who dials, who is told what, and when a silent link is replaced.
+//! Links to peers: dialling, accepting, handling frames, and replacing links that went silent.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,53 +21,53 @@
 use super::socket;
 use super::teams::admission;
 
-/// How often all links are looked at.
-const WATCH_EVERY: Duration = Duration::from_millis(500);
-/// After this silence a link on which a call waits is asked for a sign of life.
-const PING_AWAITING_AFTER: Duration = Duration::from_millis(250);
-/// After this silence any other is asked. Nobody waits on it, and the kernel's own probes notice a
-/// connection that has fallen silent; only a node that does not run is found out by this.
+/// How often all links are checked.
+const WATCH_INTERVAL: Duration = Duration::from_millis(500);
+/// A link with pending calls is pinged after this much silence.
+const PING_PENDING_AFTER: Duration = Duration::from_millis(250);
+/// An idle link is pinged after this much silence. No call depends on it, and TCP keepalive notices
+/// a dead connection; the ping finds only a process that is hung or suspended.
 const PING_IDLE_AFTER: Duration = Duration::from_secs(5);
-/// A link that leaves the question unanswered for this long is replaced. It must bear the pauses of a
-/// busy node.
-const UNANSWERED_MAX: Duration = Duration::from_secs(2);
-/// The pause before a node is dialled again, at first.
-const REDIAL_MIN: Duration = Duration::from_millis(50);
-/// The longest pause before a node is dialled again.
-const REDIAL_MAX: Duration = Duration::from_secs(2);
-/// A node that could not be reached for this long is forgotten; should it come back, it dials itself.
+/// A link that leaves a ping unanswered for this long is replaced. Must exceed the pauses of a busy
+/// node.
+const PING_TIMEOUT: Duration = Duration::from_secs(2);
+/// The initial back-off before a peer is dialled again.
+const REDIAL_BACKOFF_MIN: Duration = Duration::from_millis(50);
+/// The longest back-off before a peer is dialled again.
+const REDIAL_BACKOFF_MAX: Duration = Duration::from_secs(2);
+/// A peer that could not be reached for this long is removed. If it comes back, it dials this node.
 const FORGET_AFTER: Duration = Duration::from_secs(120);
 
-/// Makes the node at `address` known, and keeps a link to it.
+/// Adds the node at `address` to the directory, and maintains a link to it.
 pub fn meet(node: &Rc<Node>, address: std::net::SocketAddr, failure_domain: &str) {
     if let Some(peer) = node.directory.add(address, failure_domain) {
-        spawn_local(keep_link(Rc::clone(node), peer));
+        spawn_local(maintain_link(Rc::clone(node), peer));
     }
 }
 
-/// Keeps a link to another node for as long as it can be reached.
-async fn keep_link(node: Rc<Node>, peer: Rc<Peer>) {
-    let mut pause = REDIAL_MIN;
-    let mut reached = Instant::now();
-    while reached.elapsed() < FORGET_AFTER {
-        // The opening packet to a VM without power is lost, and sent again only after a second. Where all
-        // VMs come back at once, that kept a node from all those that started after it; a node that says
-        // hello can be reached, so it is dialled anew.
+/// Maintains a link to a peer for as long as the peer can be reached.
+async fn maintain_link(node: Rc<Node>, peer: Rc<Peer>) {
+    let mut backoff = REDIAL_BACKOFF_MIN;
+    let mut last_linked = Instant::now();
+    while last_linked.elapsed() < FORGET_AFTER {
+        // A SYN to a VM that is down is lost and sent again only after a second. Where all VMs come
+        // back at once, that delayed the links of a node to all those that started after it. A peer
+        // that says hello can be reached, so it is dialled again at once.
         let connected = tokio::select! {
             connected = socket::connect(peer.address) => connected,
             () = peer.greeted.notified() => continue,
         };
         if let Ok(stream) = connected {
-            let linked = Instant::now();
+            let connected_at = Instant::now();
             run_link(&node, &peer, stream).await;
-            reached = Instant::now();
-            if linked.elapsed() > REDIAL_MAX {
-                pause = REDIAL_MIN;
+            last_linked = Instant::now();
+            if connected_at.elapsed() > REDIAL_BACKOFF_MAX {
+                backoff = REDIAL_BACKOFF_MIN;
             }
         }
         tokio::select! {
-            () = sleep(pause) => pause = (pause * 2).min(REDIAL_MAX),
-            () = peer.greeted.notified() => pause = REDIAL_MIN,
+            () = sleep(backoff) => backoff = (backoff * 2).min(REDIAL_BACKOFF_MAX),
+            () = peer.greeted.notified() => backoff = REDIAL_BACKOFF_MIN,
         }
     }
     node.directory.remove(peer.address);
@@ -79,7 +79,7 @@
     let left = peer.status.borrow().left.clone();
     link.send(&Frame::Hello(node.hello(left)));
     node.add_dialled(&link);
-    let take = |frame| match frame {
+    let on_frame = |frame| match frame {
         Frame::Hello(hello) => {
             node.directory.take_hello(&hello);
             peer.link.replace(Some(Rc::clone(&link)));
@@ -89,8 +89,8 @@
                 service: hello.status.service.clone(),
                 config_version: hello.status.site_version,
             });
-            node.want_site(&hello.status, &link);
-            if node.wants_neighbours() {
+            node.request_newer_site(&hello.status, &link);
+            if node.try_neighbour_request() {
                 link.send(&Frame::NeighboursWanted);
             }
         }
@@ -104,7 +104,7 @@
             link.end_call(id, end);
         }
         Frame::Status(status) => {
-            node.want_site(&status, &link);
+            node.request_newer_site(&status, &link);
             peer.take_status(status);
         }
         Frame::Load(load) => peer.take_load(load),
@@ -129,7 +129,7 @@
         | Frame::QuotaWanted { .. }
         | Frame::QuotaReturned { .. } => {}
     };
-    let error = link.read_all(reader, take).await;
+    let error = link.read_all(reader, on_frame).await;
     node.remove_dialled(&link);
     if peer.link.borrow().is_some() {
         node.log.emit(&LogEvent::LinkLost {
@@ -143,29 +143,29 @@
     peer.status.borrow_mut().ready = false;
 }
 
-/// Asks for a sign of life on links that are silent, and ends those that stay so.
+/// Pings links that are silent, and closes those that do not answer.
 pub async fn watch_links(node: Rc<Node>) {
     loop {
-        sleep(WATCH_EVERY).await;
+        sleep(WATCH_INTERVAL).await;
         for link in node.dialled() {
-            if link.unanswered() > UNANSWERED_MAX {
+            if link.unanswered() > PING_TIMEOUT {
                 link.close();
                 continue;
             }
-            let patience = if link.is_awaiting() { PING_AWAITING_AFTER } else { PING_IDLE_AFTER };
-            if link.heard().elapsed() >= patience {
+            let ping_after = if link.is_awaiting() { PING_PENDING_AFTER } else { PING_IDLE_AFTER };
+            if link.heard().elapsed() >= ping_after {
                 link.ping();
             }
         }
     }
 }
 
-/// Takes in the links of other nodes.
+/// Accepts the links of peers.
 pub async fn accept(node: Rc<Node>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                if socket::watch(&stream).is_ok() {
+                if socket::configure(&stream).is_ok() {
                     spawn_local(serve_link(Rc::clone(&node), stream));
                 }
             }
@@ -174,17 +174,17 @@
     }
 }
 
-/// Waits a little after a connection could not be accepted, so that the loop does not spin.
+/// Pauses after a connection could not be accepted, so that the accept loop does not spin.
 pub async fn pause_after(log: &EventLog, error: &io::Error) {
     log.emit(&LogEvent::InputRefused { input: "connection", detail: error.to_string() });
-    sleep(REDIAL_MIN).await;
+    sleep(REDIAL_BACKOFF_MIN).await;
 }
 
-/// Serves a link that another node has dialled, until it ends.
+/// Serves a link that a peer has dialled, until it ends.
 async fn serve_link(node: Rc<Node>, stream: TcpStream) {
     let (link, reader) = Link::start(stream);
     let running: Rc<RefCell<HashMap<u64, AbortHandle>>> = Rc::default();
-    let take = |frame| match frame {
+    let on_frame = |frame| match frame {
         Frame::Hello(hello) => {
             meet(&node, hello.address, &hello.failure_domain);
             if let Some(peer) = node.directory.get(hello.address) {
@@ -214,8 +214,8 @@
         Frame::Ping => link.send(&node.callers.load_frame(&node.status())),
         Frame::NeighboursWanted => link.send(&Frame::Neighbours(node.directory.neighbours())),
         Frame::SiteWanted => {
-            if let Some(in_force) = node.in_force() {
-                link.send(&Frame::Site { document: in_force.document });
+            if let Some(active_site) = node.active_site() {
+                link.send(&Frame::Site { document: active_site.document });
             }
         }
         Frame::QuotaWanted { team, tokens } => admission::answer(&node, &link, team, tokens),
@@ -232,15 +232,15 @@
         | Frame::Neighbours(_)
         | Frame::Site { .. } => {}
     };
-    link.read_all(reader, take).await;
-    // Nobody can be told the answers any more.
+    link.read_all(reader, on_frame).await;
+    // The answers can no longer be delivered.
     for (_, call) in running.borrow_mut().drain() {
         call.abort();
     }
     node.callers.remove(&link);
 }
 
-/// Runs one call and sends its end.
+/// Runs one call and sends its answer.
 async fn serve_call(
     node: Rc<Node>,
     link: Rc<Link>,
--- a/src/mesh/receiver.rs
+++ b/src/mesh/receiver.rs
@@ -1,8 +1,8 @@
 //! The receiving side: runs calls on the target beside the node.
 //!
-//! Nobody else reaches the target, so what must hold for it is enforced here and nowhere else: an
-//! incarnation that is leaving gets no request, no more requests run than it has slots, and "not
-//! run" is said only of a request that was not sent.
+//! No other node reaches this target, so the rules for it are enforced only here: a draining
+//! incarnation gets no request, no more requests run than it has slots, and "not run" is reported
+//! only for a request that was not sent.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -26,11 +26,11 @@
 use super::site::RouteKind;
 use super::target::Instance;
 
-/// What is left of a deadline that is too short to be worth a run.
+/// A call with less time than this before its deadline is not worth running.
 const REMAINING_MIN: Duration = Duration::from_millis(3);
-/// The bytes of a usual request head.
-const HEAD_USUAL_BYTES: usize = 512;
-/// Headers of an answer that concern one connection only.
+/// The initial buffer for a request head, in bytes; fits a typical one.
+const HEAD_TYPICAL_BYTES: usize = 512;
+/// Hop-by-hop headers and those of message framing; they are not forwarded with an answer.
 const CONNECTION_HEADERS: [&str; 7] = [
     "connection",
     "keep-alive",
@@ -41,29 +41,29 @@
     "proxy-connection",
 ];
 
-/// What became of a call, and what was noticed where the target broke off or could not be reached.
-struct Served {
+/// The end of a call, and the cause where the connection to the target failed or broke.
+struct CallResult {
     end: CallEnd,
     detail: String,
 }
 
-impl From<CallEnd> for Served {
+impl From<CallEnd> for CallResult {
     fn from(end: CallEnd) -> Self {
         Self { end, detail: String::new() }
     }
 }
 
-impl From<NotRun> for Served {
+impl From<NotRun> for CallResult {
     fn from(reason: NotRun) -> Self {
         CallEnd::NotRun(reason).into()
     }
 }
 
-/// Runs a call on the target. Dropping the future withdraws the call.
+/// Runs a call on the target. Dropping the future cancels the call.
 pub async fn serve(node: &Rc<Node>, call: &Call, deadline: Instant) -> CallEnd {
     let began = Instant::now();
-    let Served { end, detail } = admit(node, call, deadline).await;
-    node.metrics.note_call(end.reason());
+    let CallResult { end, detail } = admit_and_run(node, call, deadline).await;
+    node.metrics.record_call(end.reason());
     if end.has_arrived() {
         node.target.failing.note(end.speaks_against_target());
     }
@@ -82,7 +82,7 @@
             reason: end.reason(),
             status: end.status().into(),
             detail,
-            fingerprint: fingerprint_of_broken(call, &end),
+            fingerprint: broken_fingerprint(call, &end),
             took_ms: began.elapsed().as_millis() as u64,
             running: load.running,
             waiting: load.waiting,
@@ -92,30 +92,31 @@
     end
 }
 
-/// The fingerprint of a call that its target broke off; empty for all others, as it costs reading the body.
-fn fingerprint_of_broken(call: &Call, end: &CallEnd) -> String {
+/// The fingerprint of a call whose connection to the target broke; empty for all others, as
+/// computing it reads the whole body.
+fn broken_fingerprint(call: &Call, end: &CallEnd) -> String {
     let is_broken = *end == CallEnd::MayHaveRun(Doubt::TargetBroke);
     if is_broken { call.fingerprint().to_string() } else { String::new() }
 }
 
-/// Waits for a slot, and runs a call in it.
-async fn admit(node: &Rc<Node>, call: &Call, deadline: Instant) -> Served {
+/// Waits for a slot, and runs the call in it.
+async fn admit_and_run(node: &Rc<Node>, call: &Call, deadline: Instant) -> CallResult {
     let _serving = Counted::new(&node.serving, 1);
     if !node.takes_calls() {
         return NotRun::Leaving.into();
     }
-    let Some(instance) = current(node, &call.service) else {
+    let Some(instance) = current_instance(node, &call.service) else {
         return NotRun::NoTarget.into();
     };
     let gate = &node.target.gate;
-    // Half of the typical time: a request that began later would most likely end unfinished.
+    // Half of the typical run time: a request that began later would most likely not finish.
     let begin_by = deadline - REMAINING_MIN.max(gate.typical_run() / 2);
     let quarantine = &node.quarantine;
     let fingerprint = (!quarantine.is_empty()).then(|| call.fingerprint());
-    let mut _apart = None;
+    let mut _isolation = None;
     if let Some(fingerprint) = fingerprint {
         match timeout_at(begin_by, quarantine.admit(fingerprint)).await {
-            Ok(Some(apart)) => _apart = apart,
+            Ok(Some(isolation)) => _isolation = isolation,
             Ok(None) => return NotRun::Quarantined.into(),
             Err(_) => return NotRun::Expired.into(),
         }
@@ -130,46 +131,48 @@
         Some(connection) => connection,
         None => match Connection::open(node.target.address).await {
             Ok(connection) => connection,
-            Err(error) => return unreachable(node, &instance, &error),
+            Err(error) => return connection_failed(node, &instance, &error),
         },
     };
-    // The target may have left while the call waited.
-    if current(node, &call.service).is_none_or(|now| now.incarnation != instance.incarnation) {
+    // The target may have left during the wait.
+    if current_instance(node, &call.service)
+        .is_none_or(|now| now.incarnation != instance.incarnation)
+    {
         return NotRun::Leaving.into();
     }
     if deadline.saturating_duration_since(Instant::now()) < REMAINING_MIN {
         return NotRun::Expired.into();
     }
-    // It may have ended another target while it waited.
+    // The request may have crashed another target during the wait.
     if fingerprint.is_some_and(|fingerprint| quarantine.is_held(fingerprint)) {
         return NotRun::Quarantined.into();
     }
     run(node, call, deadline, &instance, connection).await
 }
 
-/// The incarnation that takes work, if it belongs to `service`.
-fn current(node: &Node, service: &str) -> Option<Rc<Instance>> {
+/// The current incarnation of the target, if it serves `service`.
+fn current_instance(node: &Node, service: &str) -> Option<Rc<Instance>> {
     node.target.current().filter(|instance| instance.service == service)
 }
 
-/// What becomes of a call when no connection could be made.
-fn unreachable(node: &Node, instance: &Instance, error: &ExchangeError) -> Served {
+/// The result of a call when no connection to the target could be opened.
+fn connection_failed(node: &Node, instance: &Instance, error: &ExchangeError) -> CallResult {
     if error.is_refused() && node.target.lose(&instance.incarnation) {
         node.target_changed("refused_connection");
     }
-    Served { end: CallEnd::NotRun(NotRun::Unreachable), detail: error.to_string() }
+    CallResult { end: CallEnd::NotRun(NotRun::Unreachable), detail: error.to_string() }
 }
 
-/// Sends a call to the target and takes its answer in.
+/// Sends a call to the target and reads the answer.
 async fn run(
     node: &Rc<Node>,
     call: &Call,
     deadline: Instant,
     instance: &Instance,
     mut connection: Connection,
-) -> Served {
+) -> CallResult {
     let head = request_head(node, call, deadline, instance);
-    node.note_root(&call.root);
+    node.record_root(&call.root);
     let has_failed_below = Rc::new(Cell::new(false));
     let origin = Origin {
         root: call.root.as_str().into(),
@@ -194,7 +197,7 @@
                     crash::until_known(node).await;
                 }
             }
-            return broke(error.to_string());
+            return target_broke(error.to_string());
         }
         Err(_) => return CallEnd::MayHaveRun(Doubt::Timeout).into(),
     };
@@ -202,15 +205,16 @@
     if reply.is_reusable {
         node.target.keep(connection);
     }
-    let served = judge(node, reply, has_failed_below.get());
-    // A request that ends targets may be turned away, or fail for want of a call, before it gets so far.
-    if served.end.went_well() && !node.quarantine.is_empty() {
+    let result = classify_reply(node, reply, has_failed_below.get());
+    // Only a success clears the request: one that crashes targets may also be declined, or fail on
+    // an inner call, before it reaches the point where it crashes.
+    if result.end.went_well() && !node.quarantine.is_empty() {
         blame::note_success(node, call.fingerprint());
     }
-    served
+    result
 }
 
-/// Whether whoever sent a call may send it again although it may have run.
+/// Whether the sender may repeat a call that may have run.
 fn may_be_repeated(node: &Node, call: &Call) -> bool {
     let host = fingerprint::host(&call.headers);
     let path = call.path.split('?').next().unwrap_or_default();
@@ -218,20 +222,20 @@
     route.is_some_and(|route| route.kind == RouteKind::Idempotent)
 }
 
-/// What becomes of a call whose target broke off, or gave an answer that is none.
-fn broke(detail: String) -> Served {
-    Served { end: CallEnd::MayHaveRun(Doubt::TargetBroke), detail }
+/// The result of a call whose target closed the connection or gave an invalid answer.
+fn target_broke(detail: String) -> CallResult {
+    CallResult { end: CallEnd::MayHaveRun(Doubt::TargetBroke), detail }
 }
 
-/// What an answer of the target means.
-fn judge(node: &Node, reply: Reply, has_failed_below: bool) -> Served {
+/// Classifies an answer of the target.
+fn classify_reply(node: &Node, reply: Reply, has_failed_below: bool) -> CallResult {
     let vocabulary = &node.vocabulary;
     if reply.status == http::StatusCode::MISDIRECTED_REQUEST.as_u16() {
         let id = reply.header(vocabulary.instance_id.as_str());
-        if id.is_some_and(|id| node.target.take_sighting(id)) {
+        if id.is_some_and(|id| node.target.observe_instance(id)) {
             node.target_changed("other_incarnation");
         }
-        return Served {
+        return CallResult {
             end: CallEnd::NotRun(NotRun::Unreachable),
             detail: format!("another incarnation answered: {}", id.unwrap_or("unnamed")),
         };
@@ -241,7 +245,7 @@
     }
     let is_success = (200..300).contains(&reply.status);
     if is_success && reply.header(vocabulary.signature.as_str()).is_none() {
-        return broke("a success without a signature".to_owned());
+        return target_broke("successful answer without a signature".to_owned());
     }
     CallEnd::Answered(TargetAnswer {
         status: reply.status,
@@ -252,11 +256,11 @@
     .into()
 }
 
-/// The head of the request as the target gets it.
+/// Builds the request head for the target.
 fn request_head(node: &Node, call: &Call, deadline: Instant, instance: &Instance) -> Bytes {
     let remaining_ms = deadline.saturating_duration_since(Instant::now()).as_millis();
     let vocabulary = &node.vocabulary;
-    let mut head = BytesMut::with_capacity(HEAD_USUAL_BYTES);
+    let mut head = BytesMut::with_capacity(HEAD_TYPICAL_BYTES);
     head.put_slice(call.method.as_bytes());
     head.put_slice(b" ");
     head.put_slice(call.path.as_bytes());
@@ -276,22 +280,22 @@
         vocabulary.expected_instance.as_str(),
         instance.incarnation.id.as_bytes(),
     );
-    let has_none = matches!(call.method.as_str(), "GET" | "HEAD" | "DELETE" | "OPTIONS");
-    let is_bodiless = call.body.is_empty() && has_none;
-    if !is_bodiless {
+    let allows_no_body = matches!(call.method.as_str(), "GET" | "HEAD" | "DELETE" | "OPTIONS");
+    let omits_length = call.body.is_empty() && allows_no_body;
+    if !omits_length {
         put_header(&mut head, "content-length", call.body.len().to_string().as_bytes());
     }
     head.put_slice(b"\r\n");
     head.freeze()
 }
 
-/// The headers of an answer that travel on.
+/// The headers of an answer that are forwarded.
 fn answer_headers(node: &Node, reply: &Reply) -> Vec<Header> {
-    let left_out = [node.vocabulary.load.as_str(), node.vocabulary.attempt_id.as_str()];
-    let left_out = CONNECTION_HEADERS.iter().chain(&left_out).map(|name| name.as_bytes());
+    let not_forwarded = [node.vocabulary.load.as_str(), node.vocabulary.attempt_id.as_str()];
+    let not_forwarded = CONNECTION_HEADERS.iter().chain(&not_forwarded).map(|name| name.as_bytes());
     let mut headers = Vec::with_capacity(reply.headers.len());
     for (name, value) in &reply.headers {
-        if left_out.clone().any(|known| name.eq_ignore_ascii_case(known)) {
+        if not_forwarded.clone().any(|known| name.eq_ignore_ascii_case(known)) {
             continue;
         }
         headers.push(Header { name: name.clone(), value: value.clone() });
@@ -299,7 +303,7 @@
     headers
 }
 
-/// Appends a header.
+/// Appends a header line.
 fn put_header(block: &mut BytesMut, name: impl AsRef<[u8]>, value: &[u8]) {
     block.put_slice(name.as_ref());
     block.put_slice(b": ");
--- a/src/mesh/sender.rs
+++ b/src/mesh/sender.rs
@@ -1,4 +1,5 @@
-//! The sending side: finds a target for a request, sends it, and sends it again where that is right.
+//! The sending side: chooses a target for a request, sends it, and repeats it where that is
+//! allowed.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,61 +17,61 @@
 use super::site::{Route, RouteKind};
 use super::trail::Trail;
 
-/// How often a call that was refused without having reached a target is offered elsewhere.
+/// How many targets one request is offered to at most, including those that refused it.
 const OFFERS_MAX: usize = 6;
-/// How long after the deadline the word of the other node is waited for: it knows whether the request
-/// was run, and says so at the deadline.
-const LAST_WORD: Duration = Duration::from_millis(30);
-/// When a caller should come back that found no target, in milliseconds.
+/// How long after the deadline the peer's answer is awaited: the peer knows whether the request
+/// ran, and says so at the deadline.
+const ANSWER_GRACE: Duration = Duration::from_millis(30);
+/// The `retry-after` for a caller when no target was available, in milliseconds.
 const RETRY_AFTER_NO_TARGET_MS: u64 = 600;
-/// When a caller should come back that found all targets busy, in milliseconds.
+/// The `retry-after` for a caller when all targets were busy, in milliseconds.
 const RETRY_AFTER_BUSY_MS: u64 = 1_000;
 
-/// A request that was taken in whole.
+/// A request that was read completely.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The id of the caller's attempt.
     pub attempt_id: String,
     /// The method.
     pub method: String,
-    /// The path with the query.
+    /// The path including the query.
     pub path: String,
-    /// The headers that travel on, without the id of the attempt.
+    /// The headers to forward, without the id of the attempt.
     pub headers: Vec<Header>,
     /// The whole body.
     pub body: Bytes,
-    /// When an answer is of no more use.
+    /// When an answer is no longer of use.
     pub deadline: Instant,
-    /// The route by which a caller's request began it all.
+    /// The route of the caller's request that this one belongs to.
     pub root: Rc<str>,
     /// The rank of that route.
     pub rank: u8,
-    /// Whether it is made by a run that repeats another.
+    /// Whether it was made by a run that is itself a repeat.
     pub is_repeat: bool,
-    /// The team whose key let the caller's request in; empty where no key did.
+    /// The team whose key admitted the caller's request; empty where no key did.
     pub team: Rc<str>,
 }
 
 impl Request {
-    /// What is the same of the request whenever it comes again. Reads the whole body.
+    /// A hash that is the same whenever the request is sent again. Reads the whole body.
     pub fn fingerprint(&self) -> Fingerprint {
         Fingerprint::of(&self.method, &self.path, &self.headers, &self.body)
     }
 }
 
-/// The final answer to a request.
+/// The final outcome of a request.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// The target's own.
+    /// The target answered.
     Answered(TargetAnswer),
     /// The request has not run and never will.
     NotRun {
         /// Why.
         reason: NotRun,
-        /// When the caller should come back, in milliseconds.
+        /// When the caller may try again, in milliseconds.
         retry_after_ms: u64,
     },
-    /// Nobody can say whether the request ran.
+    /// It is unknown whether the request ran.
     MayHaveRun(Doubt),
 }
 
@@ -80,7 +81,7 @@
         Self::NotRun { reason, retry_after_ms }
     }
 
-    /// Whether it is an answer other than a failure of the target.
+    /// Whether the target answered with anything but a failure.
     pub fn went_well(&self) -> bool {
         matches!(self, Self::Answered(answer) if !answer.is_failure())
     }
@@ -95,22 +96,22 @@
     }
 }
 
-/// One request on its way.
-struct Sending<'a> {
+/// A request being sent, with the state of its attempts.
+struct Dispatch<'a> {
     node: &'a Rc<Node>,
     route: &'a Route,
     service: &'a str,
     request: &'a Request,
-    /// Nodes that have had it.
+    /// Peers it was offered to.
     tried: Vec<SocketAddr>,
-    /// Whether the target beside this node has had it.
+    /// Whether it was offered to the target beside this node.
     tried_own: bool,
-    /// Where it was offered, and how often it has reached a target.
+    /// The attempts, for the log.
     trail: Trail,
 }
 
-/// Sends a request until it has its final answer. Dropping the future withdraws it.
-/// Also tells where it was offered.
+/// Sends a request until it has its final outcome, and returns its attempts with it. Dropping the
+/// future cancels the request.
 pub async fn send(node: &Rc<Node>, route: &Route, request: &Request) -> (Outcome, Trail) {
     let service = &route.split[node.splitter.next(route)].service;
     if request.is_repeat {
@@ -118,7 +119,7 @@
     } else {
         node.budgets.earn(service);
     }
-    let mut sending = Sending {
+    let mut dispatch = Dispatch {
         node,
         route,
         service,
@@ -127,8 +128,8 @@
         tried_own: false,
         trail: Trail::default(),
     };
-    let outcome = sending.run().await;
-    let mut trail = sending.trail;
+    let outcome = dispatch.run().await;
+    let mut trail = dispatch.trail;
     service.clone_into(&mut trail.service);
     if matches!(outcome, Outcome::NotRun { reason: NotRun::Quarantined, .. }) {
         trail.held = Some(request.fingerprint());
@@ -136,18 +137,18 @@
     (outcome, trail)
 }
 
-impl Sending<'_> {
+impl Dispatch<'_> {
     async fn run(&mut self) -> Outcome {
         if let Some(left) = self.held_for() {
             return Outcome::refused(NotRun::Quarantined, left.as_millis() as u64);
         }
         let mut last = CallEnd::NotRun(NotRun::NoTarget);
-        // What is known of an earlier attempt that may have run outlives a later refusal.
+        // An earlier attempt that may have run takes precedence over a later refusal.
         let mut doubt = None;
-        // So does the target's own word that it failed.
+        // So does a failure that a target has answered with.
         let mut failure = None;
         for _ in 0..OFFERS_MAX {
-            let Some(destination) = self.pick().or_else(|| self.pick_again()) else { break };
+            let Some(destination) = self.pick().or_else(|| self.pick_tried()) else { break };
             last = self.attempt(&destination).await;
             match &last {
                 CallEnd::MayHaveRun(found) => doubt = Some(*found),
@@ -172,7 +173,7 @@
         }
     }
 
-    /// How the request may run, as far as this node knows.
+    /// How the quarantine lets the request run, as far as this node knows.
     fn standing(&self) -> Standing {
         let quarantine = &self.node.quarantine;
         if quarantine.is_empty() {
@@ -189,9 +190,9 @@
         }
     }
 
-    /// Whether the request must not be sent to the next target, as it may end that, too: it is a suspect, or it
-    /// ran on a target that has ended and the next is the last one of the service.
-    fn may_end_the_next(&self) -> bool {
+    /// Whether a repeat may crash the next target too: the request is a suspect, or it was running
+    /// when a target crashed and the next one is the last of the service.
+    fn may_crash_next_target(&self) -> bool {
         let quarantine = &self.node.quarantine;
         if quarantine.is_empty() {
             return false;
@@ -201,14 +202,14 @@
             || quarantine.has_crashed(fingerprint) && self.targets_ready() <= 1
     }
 
-    /// How many targets of the service take work, as far as this node knows.
+    /// How many targets of the service are ready, as far as this node knows.
     fn targets_ready(&self) -> usize {
         let own = self.node.target.current().filter(|known| known.service == self.service);
         self.node.directory.siblings(self.service).1 + usize::from(own.is_some())
     }
 
-    /// A target that has had the request already, if there is no other.
-    fn pick_again(&mut self) -> Option<Destination> {
+    /// A target that was already tried, when no other is left.
+    fn pick_tried(&mut self) -> Option<Destination> {
         if self.trail.arrivals == 0 {
             return None;
         }
@@ -217,7 +218,7 @@
         self.pick()
     }
 
-    /// The next target, if there is one.
+    /// The next target, if any.
     fn pick(&self) -> Option<Destination> {
         let node = self.node;
         let is_own = !self.tried_own && node.takes_calls();
@@ -231,29 +232,30 @@
         node.directory.pick(&wanted, &mut *rng)
     }
 
-    /// Whether the request may be sent once more after `end`.
+    /// Counts `end` as an arrival if the request reached the target, and returns whether it may be
+    /// sent again. Takes from the retry budget if so.
     fn may_repeat(&mut self, end: &CallEnd) -> bool {
         let has_arrived = end.has_arrived();
         self.trail.arrivals += u32::from(has_arrived);
         if self.request.deadline <= Instant::now() {
             return false;
         }
-        let is_right = match end {
+        let is_allowed = match end {
             CallEnd::NotRun(reason) => !matches!(reason, NotRun::Expired | NotRun::Quarantined),
             CallEnd::MayHaveRun(doubt) => {
-                let is_risky = *doubt == Doubt::TargetBroke && self.may_end_the_next();
-                self.route.kind == RouteKind::Idempotent && !is_risky
+                let may_crash = *doubt == Doubt::TargetBroke && self.may_crash_next_target();
+                self.route.kind == RouteKind::Idempotent && !may_crash
             }
-            // Whoever made the call that failed below has repeated it if that could be afforded; to
-            // run all of it again costs many times as much.
+            // A failed inner call was repeated where it was made, if the budget allowed. Repeating
+            // the whole request would cost many times as much.
             CallEnd::Answered(answer) => {
                 answer.is_failure()
                     && !answer.has_failed_below
                     && self.route.kind == RouteKind::Idempotent
             }
         };
-        if !is_right || !has_arrived {
-            return is_right;
+        if !is_allowed || !has_arrived {
+            return is_allowed;
         }
         let node = self.node;
         let nodes = node.directory.linked() + 1;
@@ -284,10 +286,10 @@
                     Err(reason) => return CallEnd::NotRun(reason),
                 };
                 peer.in_flight.set(peer.in_flight.get() + 1);
-                let _in_flight = InFlight(&peer.in_flight);
-                let end = timeout_at(self.request.deadline + LAST_WORD, pending.end()).await;
+                let _guard = InFlightGuard(&peer.in_flight);
+                let end = timeout_at(self.request.deadline + ANSWER_GRACE, pending.end()).await;
                 let end = end.unwrap_or(CallEnd::MayHaveRun(Doubt::Timeout));
-                if speaks_against_node(&end) {
+                if suggests_unavailable(&end) {
                     peer.avoid();
                 }
                 peer.failing.note(end.speaks_against_target());
@@ -315,17 +317,17 @@
     }
 }
 
-/// Counts a call that waits for its answer.
-struct InFlight<'a>(&'a std::cell::Cell<u32>);
+/// Counts a call as in flight until dropped.
+struct InFlightGuard<'a>(&'a std::cell::Cell<u32>);
 
-impl Drop for InFlight<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 }
 
-/// Whether an end shows that the node or its target is away for now.
-fn speaks_against_node(end: &CallEnd) -> bool {
+/// Whether an end suggests that the node or its target is unavailable.
+fn suggests_unavailable(end: &CallEnd) -> bool {
     match end {
         CallEnd::Answered(_)
         | CallEnd::MayHaveRun(Doubt::Timeout | Doubt::TargetBroke | Doubt::Withdrawn) => false,
@@ -336,7 +338,7 @@
     }
 }
 
-/// When a caller should come back, in milliseconds.
+/// When a caller may try again, in milliseconds.
 fn retry_after_ms(reason: NotRun) -> u64 {
     match reason {
         NotRun::NoTarget | NotRun::Leaving | NotRun::Unreachable | NotRun::Unsent => {
@@ -354,7 +356,7 @@
     }
 }
 
-/// Counts a request of a caller for as long as it lasts.
+/// Counts a request of a caller as in flight until dropped.
 pub fn count(node: &Node) -> Counted<'_> {
     Counted::new(&node.in_flight, 1)
 }
--- a/src/mesh/settings.rs
+++ b/src/mesh/settings.rs
@@ -1,4 +1,4 @@
-//! What a node of the mesh is told at its start.
+//! The start-up settings of a mesh node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,57 +11,57 @@
 use super::teams::owner::Tolerance;
 use super::teams::quota::QuotaPolicy;
 
-/// Everything a node is told at its start, apart from what the platform's adapter reads.
+/// All start-up settings of a node, except those read by the platform adapter.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct MeshSettings {
-    /// Who the node is.
+    /// The identity and resources of the node.
     pub node: NodeSection,
     /// Where it listens.
     pub listen: ListenSection,
     /// The target beside it.
     pub target: TargetSection,
-    /// How long things may take.
+    /// Time limits.
     pub timing: TimingSection,
-    /// How many more arrivals than requests a service may see.
+    /// The retry budget.
     pub retry: RetrySection,
-    /// What is admitted when targets are busy.
+    /// Admission under overload.
     #[serde(default)]
     pub overload: OverloadSection,
-    /// How the quotas of teams are kept.
+    /// Enforcement of the quotas of teams.
     #[serde(default)]
     pub teams: TeamsSection,
-    /// How much is logged.
+    /// The volume of the log.
     #[serde(default)]
     pub log: LogSection,
 }
 
-/// Who a node is.
+/// The identity and resources of a node.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct NodeSection {
     /// The name of its VM.
     pub name: String,
     /// Its failure domain.
     pub failure_domain: String,
-    /// The service of the target beside it, until the target says otherwise.
+    /// The service of the target beside it, until the target announces another.
     pub service: String,
-    /// The memory it may use, in mebibytes.
+    /// The memory limit, in mebibytes.
     pub memory_mb: u64,
-    /// How many descriptors it may have open.
+    /// The limit on open file descriptors.
     pub descriptors: u64,
 }
 
-/// Where a node listens.
+/// The addresses on which a node listens.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct ListenSection {
-    /// For callers and for the target's own calls.
+    /// For callers, and for calls made by the target.
     pub callers: SocketAddr,
-    /// For the question whether the node takes new work.
+    /// For readiness probes.
     pub readiness: SocketAddr,
-    /// For what the target beside it says about itself.
+    /// For heartbeats of the target beside it.
     pub targets: SocketAddr,
-    /// For other nodes.
+    /// For peers.
     pub peers: SocketAddr,
-    /// For scrapers of metrics.
+    /// For metrics scrapers.
     pub metrics: SocketAddr,
 }
 
@@ -72,36 +72,36 @@
     pub address: SocketAddr,
 }
 
-/// How long things may take.
+/// Time limits.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct TimingSection {
-    /// How long a node that was told to stop may still run, in milliseconds.
+    /// How long a node keeps running after it was told to stop, in milliseconds.
     pub stop_grace_ms: u64,
 }
 
-/// What is admitted when targets are busy.
+/// Admission under overload.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 pub struct OverloadSection {
-    /// How that is decided.
+    /// How admission is decided.
     pub policy: Policy,
 }
 
-/// How the quotas of teams are kept.
+/// Enforcement of the quotas of teams.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct TeamsSection {
-    /// How a quota is shared among the nodes.
+    /// How a quota is divided among the nodes.
     pub quota: QuotaPolicy,
-    /// The time over which the runs of a team are counted, in milliseconds.
+    /// The window over which the runs of a team are counted, in milliseconds.
     pub window_ms: u64,
-    /// By how much they may exceed the quota, as a share of it.
+    /// How far the runs in a window may exceed the quota, as a share of it.
     pub overage: f64,
-    /// By how many runs they may exceed it besides.
+    /// How many runs beyond that may exceed it.
     pub slack: f64,
 }
 
 impl TeamsSection {
-    /// By how much quotas may be exceeded.
+    /// How far quotas may be exceeded.
     pub fn tolerance(&self) -> Tolerance {
         let window = Duration::from_millis(self.window_ms);
         Tolerance { window, share: self.overage, slack: self.slack }
@@ -109,34 +109,35 @@
 }
 
 impl Default for TeamsSection {
-    /// Quotas hold exactly, except that a lease may outlive a window by its quarter of a second.
+    /// Quotas hold exactly, except that a lease may outlive a window by its duration of a quarter
+    /// of a second.
     fn default() -> Self {
         Self { quota: QuotaPolicy::default(), window_ms: 5_000, overage: 0.0, slack: 0.0 }
     }
 }
 
-/// How much is logged of requests.
+/// The volume of log lines about requests.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct LogSection {
-    /// One in this many requests that went well is written; 1 writes all of them.
+    /// One in this many successful requests is logged; 1 logs all of them.
     pub sampled_one_in: u32,
-    /// The most lines of one kind about requests in 10 s.
+    /// The maximum number of lines of one kind about requests in 10 s.
     pub request_lines_max: u32,
 }
 
 impl Default for LogSection {
-    /// A line costs about as much as a call through two nodes, so few are written of what went well,
-    /// and no more under overload than help to find its cause.
+    /// Writing a line costs about as much as a call through two nodes, so few successful requests
+    /// are logged, and under overload no more lines than help to find its cause.
     fn default() -> Self {
         Self { sampled_one_in: 500, request_lines_max: REQUESTS_PER_WINDOW }
     }
 }
 
-/// How many more arrivals than requests a service may see, over all nodes together.
+/// The retry budget of a service, over all nodes together.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct RetrySection {
     /// Repeats as a share of requests.
     pub share: f64,
-    /// How many repeats of a service are allowed beside that, in any ten seconds.
+    /// How many repeats of a service are allowed beyond that in any ten seconds.
     pub slack: u32,
 }
--- a/src/mesh/socket.rs
+++ b/src/mesh/socket.rs
@@ -1,4 +1,4 @@
-//! TCP sockets that notice a silent peer.
+//! TCP sockets with dead-peer detection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,24 +8,25 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::timeout;
 
-/// How long a connection may take to be established.
+/// How long establishing a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long sent bytes may stay unacknowledged. A connection that has fallen silent is noticed after
-/// this time; new ones may work.
-const UNACKNOWLEDGED_MAX: Duration = Duration::from_millis(2_000);
-/// How long a connection may be idle before it is probed, and the pause between probes.
-const PROBE_AFTER: Duration = Duration::from_secs(2);
-/// How many probes may go unanswered.
-const PROBES_MAX: u32 = 2;
-/// How many new connections may wait to be accepted: at a burst a queue that overflows costs a caller
-/// a second or more, as the opening packet is sent again only then.
+/// How long sent data may stay unacknowledged before the kernel closes the connection. A dead
+/// connection is noticed after this time, and a new one may work.
+const USER_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// How long a connection may be idle before the first keepalive probe; the interval between probes
+/// is half of it.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
+/// How many keepalive probes may go unanswered.
+const KEEPALIVE_RETRIES: u32 = 2;
+/// The length of the accept queue. When it overflows in a burst, the SYN is sent again only after a
+/// second, which delays a caller by a second or more.
 const BACKLOG: u32 = 1_024;
 
-/// Connects to `address`.
+/// Opens a connection to `address`.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let stream = connecting.await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    watch(&stream)?;
+    configure(&stream)?;
     Ok(stream)
 }
 
@@ -37,14 +38,15 @@
     socket.listen(BACKLOG)
 }
 
-/// Lets the kernel end a connection whose peer has fallen silent, and send small writes at once.
-pub fn watch(stream: &TcpStream) -> io::Result<()> {
+/// Enables dead-peer detection by the kernel, and disables Nagle's algorithm so that small writes
+/// are sent at once.
+pub fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_AFTER / 2)
-        .with_retries(PROBES_MAX);
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_IDLE / 2)
+        .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_MAX))
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
--- a/src/mesh/split.rs
+++ b/src/mesh/split.rs
@@ -1,4 +1,4 @@
-//! Shares a route's requests among its services in proportion to their weights.
+//! Divides the requests of a route among its services by weight.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -6,17 +6,17 @@
 
 use super::site::Route;
 
-/// How far each service of each split route is ahead of or behind its weight.
+/// The credit of each service of each split route.
 ///
-/// Smooth weighted round robin: over any span the share of a service differs from its weight by less
-/// than one request, so that shares hold also for few requests.
+/// Smooth weighted round robin: over any span, the share of a service differs from its weight by
+/// less than one request, so that shares hold for small numbers of requests too.
 #[derive(Debug, Default)]
 pub struct Splitter {
     credits: RefCell<HashMap<Rc<str>, Vec<i64>>>,
 }
 
 impl Splitter {
-    /// The index in `route.split` of the service that gets the next request.
+    /// The index in `route.split` of the service for the next request.
     pub fn next(&self, route: &Route) -> usize {
         if route.split.len() < 2 {
             return 0;
--- a/src/mesh/target.rs
+++ b/src/mesh/target.rs
@@ -1,4 +1,4 @@
-//! The target beside the node: what it has said about itself, and connections to it.
+//! The target beside the node: its state as learnt from heartbeats, and connections to it.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,51 +14,51 @@
 
 /// How many incarnations that have left are remembered.
 const LEFT_MAX: usize = 64;
-/// How many incarnations are kept track of at once.
-const HEARD_MAX: usize = 64;
-/// The most idle connections that are kept to a target.
+/// How many incarnations are tracked at once.
+const TRACKED_MAX: usize = 64;
+/// How many idle connections to the target are kept.
 const IDLE_MAX: usize = 64;
 
-/// What a target says about itself from time to time.
+/// The heartbeat of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
     /// The incarnation of the target.
     pub incarnation: Incarnation,
-    /// Grows with each heartbeat of an incarnation.
+    /// Increases with each heartbeat of an incarnation.
     pub sequence: u64,
     /// Its service.
     pub service: String,
-    /// How many requests it runs at once.
+    /// How many requests it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: TargetState,
-    /// How much longer it stays slow after its start, in milliseconds.
+    /// How much longer it needs to warm up, in milliseconds.
     pub cold_ms: u64,
 }
 
-/// Whether a target takes new work.
+/// Whether a target accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetState {
-    /// It does.
+    /// It accepts new work.
     Ready,
-    /// It finishes what it has.
+    /// It only finishes the work it has.
     Draining,
 }
 
-/// An incarnation that takes work.
+/// An incarnation that accepts work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
     /// Which one it is.
     pub incarnation: Incarnation,
     /// Its service.
     pub service: String,
-    /// Whether it is still slow after its start.
+    /// Whether it is still warming up.
     pub is_cold: bool,
 }
 
-/// What was heard last of an incarnation.
+/// The last heartbeat of an incarnation.
 #[derive(Debug)]
-struct Heard {
+struct LastHeartbeat {
     sequence: u64,
     slots: u32,
     instance: Rc<Instance>,
@@ -67,24 +67,24 @@
 /// The target beside the node.
 #[derive(Debug)]
 pub struct Target {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// What it runs, and what waits for it.
+    /// Its slots and its queue.
     pub gate: Rc<Gate>,
-    /// How many of its answers were failures of late.
+    /// The share of its recent answers that were failures.
     pub failing: FailureShare,
-    /// What it has broken off a moment ago.
+    /// The requests whose connection to the target broke recently.
     pub broken: BrokenRequests,
     current: RefCell<Option<Rc<Instance>>>,
-    /// What was heard last of each target that has not left, by its id.
-    heard: RefCell<HashMap<String, Heard>>,
-    /// Incarnations that are leaving, have left or were replaced, oldest first.
+    /// The last heartbeat of each target that has not left, by its id.
+    last_heartbeats: RefCell<HashMap<String, LastHeartbeat>>,
+    /// Incarnations that are draining, have left or were replaced, oldest first.
     left: RefCell<Vec<Incarnation>>,
     idle: RefCell<Vec<Connection>>,
 }
 
 impl Target {
-    /// A target of which nothing is known but its address.
+    /// Creates a target of which only the address is known.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -92,27 +92,27 @@
             failing: FailureShare::default(),
             broken: BrokenRequests::default(),
             current: RefCell::default(),
-            heard: RefCell::default(),
+            last_heartbeats: RefCell::default(),
             left: RefCell::default(),
             idle: RefCell::default(),
         }
     }
 
-    /// The incarnation that takes work, where there is one.
+    /// The incarnation that accepts work, if any.
     pub fn current(&self) -> Option<Rc<Instance>> {
         self.current.borrow().clone()
     }
 
-    /// Takes in a heartbeat. Says whether the state has changed.
+    /// Applies a heartbeat. Returns whether the state has changed.
     ///
-    /// One that was overtaken, or of an incarnation that has left or was followed by another one under
-    /// the same id, changes nothing.
+    /// Ignored are heartbeats that arrive out of order, and those of an incarnation that has left
+    /// or was followed by another one under the same id.
     pub fn take_heartbeat(&self, heartbeat: &Heartbeat) -> bool {
         let incarnation = &heartbeat.incarnation;
         if heartbeat.state == TargetState::Draining {
             return self.leave(incarnation);
         }
-        if self.has_left(incarnation) || self.is_overtaken(heartbeat) {
+        if self.has_left(incarnation) || self.is_outdated(heartbeat) {
             return false;
         }
         let instance = Rc::new(Instance {
@@ -120,53 +120,55 @@
             service: heartbeat.service.clone(),
             is_cold: heartbeat.cold_ms > 0,
         });
-        let mut heard = self.heard.borrow_mut();
-        if heard.len() >= HEARD_MAX {
-            heard.clear();
+        let mut last_heartbeats = self.last_heartbeats.borrow_mut();
+        if last_heartbeats.len() >= TRACKED_MAX {
+            last_heartbeats.clear();
         }
         let (sequence, slots) = (heartbeat.sequence, heartbeat.slots);
-        let entry = Heard { sequence, slots, instance: Rc::clone(&instance) };
-        heard.insert(incarnation.id.clone(), entry);
-        drop(heard);
-        self.become_current(instance, slots)
+        let entry = LastHeartbeat { sequence, slots, instance: Rc::clone(&instance) };
+        last_heartbeats.insert(incarnation.id.clone(), entry);
+        drop(last_heartbeats);
+        self.set_current(instance, slots)
     }
 
-    /// Whether a later heartbeat of the same target has been heard, from this life of it or a later.
-    fn is_overtaken(&self, heartbeat: &Heartbeat) -> bool {
-        let heard = self.heard.borrow();
-        let Some(known) = heard.get(&heartbeat.incarnation.id) else { return false };
+    /// Whether a later heartbeat under the same id is known, of this incarnation or a later one.
+    fn is_outdated(&self, heartbeat: &Heartbeat) -> bool {
+        let last_heartbeats = self.last_heartbeats.borrow();
+        let Some(known) = last_heartbeats.get(&heartbeat.incarnation.id) else { return false };
         let known_start = known.instance.incarnation.started_unix_ms;
         let start = heartbeat.incarnation.started_unix_ms;
         (start, heartbeat.sequence) <= (known_start, known.sequence)
     }
 
-    /// Takes in that the incarnation `id` has answered at the target's address. Says whether the
+    /// Records that the incarnation `id` has answered at the target's address. Returns whether the
     /// state has changed.
     ///
-    /// A heartbeat that was held up may name an incarnation that is gone; the one that answers is
-    /// then the one to go by, if it has been heard of.
-    pub fn take_sighting(&self, id: &str) -> bool {
-        let heard = self.heard.borrow();
-        let Some(known) = heard.get(id) else {
-            drop(heard);
+    /// A delayed heartbeat may name an incarnation that is gone. The one that answers then becomes
+    /// the current one, if a heartbeat of it is known; otherwise there is no current one.
+    pub fn observe_instance(&self, id: &str) -> bool {
+        let last_heartbeats = self.last_heartbeats.borrow();
+        let Some(known) = last_heartbeats.get(id) else {
+            drop(last_heartbeats);
             let current = self.current();
             return current.is_some_and(|current| self.lose(&current.incarnation));
         };
         let (instance, slots) = (Rc::clone(&known.instance), known.slots);
-        drop(heard);
-        self.become_current(instance, slots)
+        drop(last_heartbeats);
+        self.set_current(instance, slots)
     }
 
-    /// Gives an incarnation, and earlier lives of the same target, no more work. Says whether the
-    /// state has changed.
+    /// Stops giving work to an incarnation, and to earlier ones under the same id, for good.
+    /// Returns whether the state has changed.
     pub fn leave(&self, incarnation: &Incarnation) -> bool {
         let mut incarnation = incarnation.clone();
-        if let Some(known) = self.heard.borrow().get(&incarnation.id) {
+        if let Some(known) = self.last_heartbeats.borrow().get(&incarnation.id) {
             if incarnation.started_unix_ms == 0 {
                 incarnation = known.instance.incarnation.clone();
             }
         }
-        self.heard.borrow_mut().retain(|_, known| !incarnation.ends(&known.instance.incarnation));
+        self.last_heartbeats
+            .borrow_mut()
+            .retain(|_, known| !incarnation.ends(&known.instance.incarnation));
         if !self.has_left(&incarnation) {
             let mut left = self.left.borrow_mut();
             left.retain(|known| !incarnation.ends(known));
@@ -178,27 +180,28 @@
         self.lose(&incarnation)
     }
 
-    /// Takes it that an incarnation is no longer there, until it is heard of again.
+    /// Stops giving work to an incarnation until its next heartbeat. Returns whether the state has
+    /// changed.
     pub fn lose(&self, incarnation: &Incarnation) -> bool {
         let current = self.current();
         let is_current = current.is_some_and(|current| incarnation.ends(&current.incarnation));
         if is_current {
-            self.stop_work();
+            self.clear_current();
         }
         is_current
     }
 
-    /// Incarnations that are leaving, have left or were replaced.
+    /// Incarnations that are draining, have left or were replaced.
     pub fn left(&self) -> Vec<Incarnation> {
         self.left.borrow().clone()
     }
 
-    /// What the target has to do.
+    /// The load of the target.
     pub fn load(&self) -> Load {
         self.gate.load()
     }
 
-    /// A kept connection that works, if there is one.
+    /// Takes a usable idle connection, if there is one.
     pub fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(connection) = idle.pop() {
@@ -209,7 +212,7 @@
         None
     }
 
-    /// Keeps a connection for a later request.
+    /// Keeps a connection for reuse.
     pub fn keep(&self, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
         if idle.len() >= IDLE_MAX {
@@ -218,10 +221,10 @@
         idle.push(connection);
     }
 
-    fn become_current(&self, instance: Rc<Instance>, slots: u32) -> bool {
+    fn set_current(&self, instance: Rc<Instance>, slots: u32) -> bool {
         let before = self.current.replace(Some(Rc::clone(&instance)));
         if before.as_ref().is_some_and(|before| before.incarnation != instance.incarnation) {
-            self.drop_idle();
+            self.close_idle();
             self.failing.forget();
         }
         self.gate.set_slots(slots);
@@ -232,13 +235,13 @@
         self.left.borrow().iter().any(|left| left.ends(incarnation))
     }
 
-    fn stop_work(&self) {
+    fn clear_current(&self) {
         self.current.replace(None);
         self.gate.close();
-        self.drop_idle();
+        self.close_idle();
     }
 
-    fn drop_idle(&self) {
+    fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 }
--- a/src/mesh/trail.rs
+++ b/src/mesh/trail.rs
@@ -1,7 +1,7 @@
-//! What is written about a request when it has its final answer.
+//! The log entry and the metrics of a request, written when it has its final answer.
 //!
-//! A line for each request costs more than the request on a small VM, so only those are written that
-//! somebody may ask about, and a sample of the others.
+//! On a small VM a log line costs more than the request itself. Only requests that failed, were
+//! slow or were repeated are always logged; of the others a sample is.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,44 +18,45 @@
 use super::site::Route;
 use super::teams::admission::QuotaKnown;
 
-/// Where a request was offered.
+/// The attempts of a request.
 #[derive(Clone, Debug, Default)]
 pub struct Trail {
     /// The service that was chosen; empty where none was.
     pub service: String,
-    /// The nodes it was offered to, in order; none is this one.
+    /// The nodes it was offered to, in order; `None` is this node.
     pub offered: Vec<Option<SocketAddr>>,
     /// How often it reached a target.
     pub arrivals: u32,
-    /// Which request it is, where it is held back.
+    /// The fingerprint of the request, where it is held back.
     pub held: Option<Fingerprint>,
-    /// The team whose key let it in; empty where no key did.
+    /// The team whose key admitted it; empty where no key did.
     pub team: Rc<str>,
-    /// What was known of the team's quota, where the request was beyond it.
+    /// What was known of the team's quota, where the request exceeded it.
     pub quota: Option<QuotaKnown>,
 }
 
-/// A request as the trail needs it.
+/// A request that has its final answer.
 pub struct Ended<'a> {
     /// The id of the caller's attempt.
     pub attempt_id: &'a str,
-    /// The route that it took.
+    /// The route of the request.
     pub route: &'a Route,
-    /// The route by which a caller's request began it all.
+    /// The route of the caller's request that this one belongs to.
     pub root: &'a Rc<str>,
-    /// When its head was there.
+    /// When its head had been read.
     pub arrived: Instant,
-    /// The status that the caller got.
+    /// The status that the caller received.
     pub status: u16,
 }
 
-/// Counts a request that has its final answer, and writes about it where somebody may ask.
+/// Counts a request that has its final answer, and logs it unless it went well and is not in the
+/// sample.
 pub fn note_end(node: &Node, ended: &Ended<'_>, outcome: &Outcome, trail: &Trail) {
-    let took = ended.arrived.elapsed();
+    let latency = ended.arrived.elapsed();
     let (verdict, reason) = outcome.names();
-    node.metrics.note_request(ended.root, reason, took.as_secs_f64());
-    node.metrics.note_team(&trail.team, reason);
-    let took_ms = took.as_millis() as u64;
+    node.metrics.record_request(ended.root, reason, latency.as_secs_f64());
+    node.metrics.record_team_request(&trail.team, reason);
+    let took_ms = latency.as_millis() as u64;
     let went_well = verdict == "answered"
         && ended.status < 500
         && trail.arrivals <= 1
@@ -77,7 +78,7 @@
         status: u32::from(ended.status),
         offered: offered.join(" "),
         arrivals: trail.arrivals,
-        heard_ms: heard_ms(node, trail),
+        heard_ms: silent_ms(node, trail),
         admitted_percent: (node.overload.passing(ended.route) * 100.0) as u32,
         limited_by: node.overload.limited_by(ended.route).unwrap_or_default(),
         repeats_percent: (node.budgets.left(&trail.service) * 100.0) as u32,
@@ -89,14 +90,15 @@
     });
 }
 
-/// How long ago the node that had a request last was heard of, in milliseconds; 0 for this node.
-fn heard_ms(node: &Node, trail: &Trail) -> u64 {
+/// The time since anything was last received from the last node that the request was offered to, in
+/// milliseconds; 0 if that was this node or its link is closed.
+fn silent_ms(node: &Node, trail: &Trail) -> u64 {
     let Some(Some(address)) = trail.offered.last() else { return 0 };
     let link = node.directory.get(*address).and_then(|peer| peer.open_link());
     link.map_or(0, |link| link.heard().elapsed().as_millis() as u64)
 }
 
-/// A request that is being answered; when dropped, notes it if its caller has left.
+/// A request that is being answered. When dropped, records whether its caller has disconnected.
 pub struct Answering<'a> {
     node: &'a Node,
     caller: &'a PeerWatch,
@@ -108,7 +110,7 @@
 }
 
 impl<'a> Answering<'a> {
-    /// A request of `caller` whose head has just been read.
+    /// Starts tracking a request of `caller` whose head has just been read.
     pub fn new(
         node: &'a Node,
         caller: &'a PeerWatch,
@@ -121,7 +123,7 @@
         Self { node, caller, attempt_id, root, arrived, had_left, is_answered: false }
     }
 
-    /// Notes that the request has its final answer.
+    /// Records that the request has its final answer.
     pub fn finish(mut self) {
         self.is_answered = true;
     }
@@ -137,7 +139,7 @@
             (false, false) => "waiting",
             (false, true) => "answered",
         };
-        self.node.metrics.note_left(noticed);
+        self.node.metrics.record_caller_left(noticed);
         self.node.log.emit(&LogEvent::CallerLeft {
             attempt: self.attempt_id.to_owned(),
             root: self.root.to_string(),
--- a/src/mesh/vocabulary.rs
+++ b/src/mesh/vocabulary.rs
@@ -1,28 +1,28 @@
-//! The names of the headers that a node reads and writes, as the platform's adapter gives them.
+//! The names of the headers that a node reads and writes, as set by the platform adapter.
 
 use http::HeaderName;
 
-/// The headers by what they mean.
+/// The names of headers by their meaning.
 #[derive(Clone, Debug)]
 pub struct Vocabulary {
     /// The id of one attempt of a caller; targets repeat it in their answers.
     pub attempt_id: HeaderName,
-    /// How long the sender waits, in milliseconds.
+    /// The time left until the sender gives up, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// The incarnation of the target that may run the request; any other refuses it.
+    /// The incarnation of the target that is to run the request; any other refuses it.
     pub expected_instance: HeaderName,
-    /// The service of the target beside which the request began.
+    /// The service of the target that made the request.
     pub calling_service: HeaderName,
     /// The API key of the caller's team.
     pub api_key: HeaderName,
-    /// The team whose key let the request in.
+    /// The team whose key admitted the request.
     pub team: HeaderName,
     /// In an answer: the target did not run the request.
     pub not_run: HeaderName,
     /// In an answer: the incarnation of the target.
     pub instance_id: HeaderName,
-    /// In an answer: what the target has to do.
+    /// In an answer: the load of the target.
     pub load: HeaderName,
-    /// In an answer: the target's signature over it.
+    /// In an answer: the target's signature of the answer.
     pub signature: HeaderName,
 }
--- a/src/mesh/words.rs
+++ b/src/mesh/words.rs
@@ -1,8 +1,9 @@
-//! Words that the two ends of a link both know, so that they are sent as numbers.
+//! Dynamic tables that compress frames, similar to HPACK: byte strings that repeat are sent as
+//! numbers.
 //!
-//! Names of services, routes, hosts and headers, and many values, are the same in call after call. Both
-//! ends number the words that the sender asks to be kept, in the order in which they are sent, and
-//! forget the oldest when there are too many.
+//! Names of services, routes, hosts and headers, and many values, are the same in call after call.
+//! The sender marks the words to be kept. Both ends number these in the order in which they are
+//! sent, and overwrite the oldest when the table is full.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -12,35 +13,35 @@
 
 use super::codec::FrameError;
 
-/// How many words are kept for one direction of a link: more than a site of a dozen services uses in a
-/// minute, and at most some 10 KB a link.
-const WORDS_MAX: usize = 128;
+/// The size of the table for one direction of a link: more words than a site of a dozen services
+/// uses in a minute, and at most about 10 KB a link.
+const TABLE_WORDS_MAX: usize = 128;
 /// The longest word that is kept, in bytes.
 const WORD_MAX_BYTES: usize = 96;
 
-/// A word as it is sent.
+/// A word in its encoded form.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Word<'a> {
-    /// The kept word of this number.
+    /// The kept word with this number.
     Known(u8),
-    /// A word that is kept from now on.
+    /// A word that both ends keep from now on.
     New(&'a [u8]),
     /// A word that is not kept.
     Once(&'a [u8]),
 }
 
-/// The words that a sender has asked the other end to keep.
+/// The sender's table.
 #[derive(Debug, Default)]
 pub struct SentWords {
     numbers: HashMap<Bytes, u8>,
     kept: Vec<Bytes>,
     oldest: usize,
-    /// The hash of the value that was sent last for each name.
-    last_values: HashMap<Bytes, u64>,
+    /// The hash of the last value sent for each name.
+    last_value_hashes: HashMap<Bytes, u64>,
 }
 
 impl SentWords {
-    /// A word that is likely to be sent again.
+    /// Encodes a word that is likely to be sent again.
     pub fn word<'a>(&mut self, word: &'a [u8]) -> Word<'a> {
         if let Some(number) = self.numbers.get(word) {
             return Word::Known(*number);
@@ -48,12 +49,12 @@
         if word.len() > WORD_MAX_BYTES {
             return Word::Once(word);
         }
-        self.keep(Bytes::copy_from_slice(word));
+        self.insert(Bytes::copy_from_slice(word));
         Word::New(word)
     }
 
-    /// The value that goes with `name`: it is kept once it comes for a second time in a row, as many
-    /// are different each time.
+    /// Encodes a value that goes with `name`. It is kept only when sent twice in a row for that
+    /// name, as many values differ each time.
     pub fn value<'a>(&mut self, name: &[u8], value: &'a [u8]) -> Word<'a> {
         if let Some(number) = self.numbers.get(value) {
             return Word::Known(*number);
@@ -61,31 +62,31 @@
         let mut hasher = DefaultHasher::new();
         value.hash(&mut hasher);
         let hash = hasher.finish();
-        if let Some(last) = self.last_values.get_mut(name) {
+        if let Some(last) = self.last_value_hashes.get_mut(name) {
             if *last == hash {
                 return self.word(value);
             }
             *last = hash;
-        } else if self.last_values.len() < WORDS_MAX {
-            self.last_values.insert(Bytes::copy_from_slice(name), hash);
+        } else if self.last_value_hashes.len() < TABLE_WORDS_MAX {
+            self.last_value_hashes.insert(Bytes::copy_from_slice(name), hash);
         }
         Word::Once(value)
     }
 
-    fn keep(&mut self, word: Bytes) {
-        if self.kept.len() < WORDS_MAX {
+    fn insert(&mut self, word: Bytes) {
+        if self.kept.len() < TABLE_WORDS_MAX {
             self.numbers.insert(word.clone(), self.kept.len() as u8);
             self.kept.push(word);
             return;
         }
-        let forgotten = std::mem::replace(&mut self.kept[self.oldest], word.clone());
-        self.numbers.remove(&forgotten);
+        let evicted = std::mem::replace(&mut self.kept[self.oldest], word.clone());
+        self.numbers.remove(&evicted);
         self.numbers.insert(word, self.oldest as u8);
-        self.oldest = (self.oldest + 1) % WORDS_MAX;
+        self.oldest = (self.oldest + 1) % TABLE_WORDS_MAX;
     }
 }
 
-/// The words that the other end has asked to be kept.
+/// The receiver's table, which holds the same words as the sender's.
 #[derive(Debug, Default)]
 pub struct HeardWords {
     kept: Vec<Bytes>,
@@ -93,11 +94,12 @@
 }
 
 impl HeardWords {
-    /// What a word says.
+    /// Decodes a word.
     ///
     /// # Errors
     ///
-    /// The other end counts otherwise, or wants more to be kept than is allowed.
+    /// The number is unknown, so the tables of the two ends differ, or a word to be kept is too
+    /// long.
     pub fn resolve(&mut self, word: &Word<'_>) -> Result<Bytes, FrameError> {
         match word {
             Word::Known(number) => {
@@ -107,18 +109,18 @@
             Word::New(word) if word.len() > WORD_MAX_BYTES => Err(FrameError::TooLong(word.len())),
             Word::New(word) => {
                 let word = Bytes::copy_from_slice(word);
-                if self.kept.len() < WORDS_MAX {
+                if self.kept.len() < TABLE_WORDS_MAX {
                     self.kept.push(word.clone());
                 } else {
                     self.kept[self.oldest] = word.clone();
-                    self.oldest = (self.oldest + 1) % WORDS_MAX;
+                    self.oldest = (self.oldest + 1) % TABLE_WORDS_MAX;
                 }
                 Ok(word)
             }
         }
     }
 
-    /// The same as text.
+    /// Decodes a word that is text.
     pub fn resolve_text(&mut self, word: &Word<'_>) -> Result<String, FrameError> {
         let word = self.resolve(word)?;
         String::from_utf8(word.into()).map_err(|_| FrameError::NotText)
