--- a/src/once/attempt_table.rs
+++ b/src/once/attempt_table.rs
@@ -1,4 +1,5 @@
-//! Deduplicates and fences the attempts that a node receives.
+//! Records the attempts that a node receives: repeated ones do not run twice, and fenced ones never
+//! run.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -29,11 +30,12 @@
     /// The maximum memory of answers, in bytes; the oldest are dropped beyond it.
     #[builder(default = 8 << 20)]
     pub answers_max_bytes: usize,
-    /// The maximum number of recorded sending nodes; beyond it, unknown ones are refused.
+    /// The maximum number of recorded origins (sending nodes). Beyond it, attempts of unknown
+    /// origins are refused.
     #[builder(default = 16_384)]
     pub origins_max: usize,
-    /// How long an idle sending node is recorded, in microseconds. No frame may be delayed for
-    /// longer.
+    /// How long an idle origin is recorded, in microseconds. Must be at least the longest delay of
+    /// a frame.
     #[builder(default = 24 * 3_600 * US_PER_S)]
     pub origin_idle_us: u64,
     /// The maximum number of return paths of one attempt.
@@ -41,7 +43,7 @@
     pub return_paths_max: usize,
 }
 
-/// An opaque id of a path on which a verdict is sent back.
+/// The opaque ID of a path on which a verdict is sent back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ReturnPath(pub u64);
 
@@ -50,7 +52,7 @@
 pub enum Arrival {
     /// It is new: decide on it, then call `settle` in every case.
     New,
-    /// It is undecided or running; `settle` will return this return path as well.
+    /// It is undecided or running; `settle` will return the path of this arrival too.
     InProgress,
     /// It ran or may have run; this is its verdict.
     Repeat(Verdict),
@@ -63,7 +65,7 @@
 pub enum FenceReply {
     /// The attempt is settled; this is its verdict.
     Settled(Verdict),
-    /// The attempt is undecided or running; `settle` will return this return path as well.
+    /// The attempt is undecided or running; `settle` will return the path of the fence too.
     InProgress,
     /// The attempt has not run, and never will if it arrives later.
     NowFenced,
@@ -131,9 +133,9 @@
     refused: VecDeque<AttemptId>,
     /// The memory of the answers, in bytes.
     answers_bytes: usize,
-    /// The watermarks of each sending node.
+    /// The watermarks of each origin.
     watermarks: HashMap<NodeId, Watermarks>,
-    /// The time until which attempts of unknown origins are refused, in microseconds.
+    /// Attempts of unknown origins are refused until this time, in microseconds.
     unknown_origins_refused_until_us: u64,
 }
 
@@ -224,7 +226,7 @@
         return_paths
     }
 
-    /// Fences an attempt: returns its state, and permanently refuses it if it has not arrived yet.
+    /// Fences an attempt: returns its state, and refuses it permanently if it has not arrived yet.
     ///
     /// `until_us` is the attempt's deadline as known to the sender.
     pub fn fence(
@@ -290,8 +292,8 @@
         }
     }
 
-    /// Removes the watermarks of sending nodes that have been idle for `origin_idle_us`. Scans all
-    /// of them; once a minute is often enough.
+    /// Removes the watermarks of origins that have been idle for `origin_idle_us`. Scans all
+    /// origins; calling it once a minute is enough.
     pub fn expire_idle_origins(&mut self, now_us: u64) {
         let idle_us = self.options.origin_idle_us;
         self.watermarks
--- a/src/once/handover.rs
+++ b/src/once/handover.rs
@@ -1,4 +1,4 @@
-//! Hands the whole ledger of a leaving node over to its successor.
+//! Handover of the complete ledger of a leaving node to its successor.
 
 use std::collections::BTreeSet;
 
@@ -8,13 +8,13 @@
 use crate::call::{Doubt, HttpAnswer, NodeId};
 
 use super::fingerprint::Fingerprint;
-use super::keyspace::{Entry, KeyState, Keyspace, Slot, SpaceId, answer_bytes};
+use super::keyspace::{Entry, KeyState, Keyspace, LocalKey, SpaceId, answer_bytes};
 use super::ledger::{Ledger, state_bytes};
 
 /// The complete key state of a leaving node.
 ///
-/// A handover is never partial: a successor that holds it knows for every key of the leaving node
-/// whether it may have run.
+/// A handover is never partial: for every key of the leaving node, it tells the successor whether
+/// the key may have run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handover {
     /// The node that left.
@@ -41,7 +41,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct EntryRecord {
     /// The key within its keyspace.
-    slot: Slot,
+    #[serde(rename = "slot")]
+    local_key: LocalKey,
     /// The fingerprint of the first request with this key; unused for a delegated key.
     fingerprint: Fingerprint,
     /// The state of the key.
@@ -53,7 +54,7 @@
 enum SettledState {
     /// It ran, and this is its answer.
     Answered(HttpAnswer),
-    /// It may have run.
+    /// It may have run, or it ran and its answer was dropped.
     Doubted(Doubt),
     /// It was permanently delegated to this node.
     Delegated(NodeId),
@@ -116,8 +117,8 @@
         self.spaces.iter().map(|space| space.entries.len()).sum()
     }
 
-    /// Whether the handover holds no key. Even then it permits the successor to run the unused keys
-    /// of the leaving node.
+    /// Whether the handover holds no key. Even an empty one permits the successor to run the unused
+    /// keys of the leaving node.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -178,7 +179,7 @@
         if self.len() + added > self.options.entries_max {
             return Err(AdoptError::Full(added));
         }
-        // The oldest answers, at the front, are dropped first, so the inherited ones go there.
+        // Answers at the front are dropped first, so the inherited ones go there.
         let own_answered = std::mem::take(&mut self.answered);
         for space in new {
             self.adopt_space(space);
@@ -192,7 +193,7 @@
     /// Takes over one keyspace.
     fn adopt_space(&mut self, record: SpaceRecord) {
         let mut space = Keyspace { horizon_unix_ms: record.horizon_unix_ms, ..Keyspace::default() };
-        for EntryRecord { slot, fingerprint, state } in record.entries {
+        for EntryRecord { local_key, fingerprint, state } in record.entries {
             let state = match state {
                 SettledState::Answered(answer) => KeyState::Answered(Box::new(answer)),
                 SettledState::Doubted(doubt) => KeyState::Doubted(doubt),
@@ -201,9 +202,9 @@
             let added_bytes = state_bytes(&state);
             if added_bytes > 0 {
                 self.answers_bytes += added_bytes;
-                self.answered.push_back((record.id, slot));
+                self.answered.push_back((record.id, local_key));
             }
-            space.entries.insert(slot, Entry { fingerprint, state });
+            space.entries.insert(local_key, Entry { fingerprint, state });
         }
         self.spaces.insert(record.id, space);
     }
@@ -217,15 +218,19 @@
     /// Builds the handover to `successor`, with the newest answers that fit in `answers_max_bytes`.
     fn to_handover(&self, successor: NodeId, answers_max_bytes: usize) -> Handover {
         let first_kept_index = self.first_answer_within(answers_max_bytes);
-        let kept: BTreeSet<(SpaceId, Slot)> =
+        let kept: BTreeSet<(SpaceId, LocalKey)> =
             self.answered.iter().skip(first_kept_index).copied().collect();
         let mut spaces = Vec::with_capacity(self.spaces.len());
         for (id, space) in &self.spaces {
             let mut entries = Vec::with_capacity(space.entries.len());
-            for (slot, entry) in &space.entries {
-                let keeps_answer = kept.contains(&(*id, *slot));
+            for (local_key, entry) in &space.entries {
+                let keeps_answer = kept.contains(&(*id, *local_key));
                 let Some(state) = settled_state(&entry.state, keeps_answer) else { continue };
-                entries.push(EntryRecord { slot: *slot, fingerprint: entry.fingerprint, state });
+                entries.push(EntryRecord {
+                    local_key: *local_key,
+                    fingerprint: entry.fingerprint,
+                    state,
+                });
             }
             let horizon_unix_ms = space.horizon_unix_ms;
             spaces.push(SpaceRecord { id: *id, horizon_unix_ms, entries });
@@ -236,8 +241,8 @@
     /// The index in `answered` from which all answers fit in `max_bytes`.
     fn first_answer_within(&self, max_bytes: usize) -> usize {
         let mut remaining_bytes = max_bytes;
-        for (index, (id, slot)) in self.answered.iter().enumerate().rev() {
-            let entry = self.spaces.get(id).and_then(|space| space.entries.get(slot));
+        for (index, (id, local_key)) in self.answered.iter().enumerate().rev() {
+            let entry = self.spaces.get(id).and_then(|space| space.entries.get(local_key));
             let Some(KeyState::Answered(answer)) = entry.map(|entry| &entry.state) else {
                 continue;
             };
--- a/src/once/in_flight.rs
+++ b/src/once/in_flight.rs
@@ -4,7 +4,7 @@
 
 use crate::call::{AttemptId, NodeId};
 
-/// An opaque id of the call that an attempt belongs to.
+/// The opaque ID of the call that an attempt belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallToken(pub u64);
 
@@ -32,8 +32,8 @@
 
 /// Matches answers to calls by the attempt and the answering node.
 ///
-/// An answer is dropped if its attempt is not in flight or was sent to another node. An answer to
-/// an earlier attempt of a call counts like one to the latest.
+/// An answer is dropped if its attempt is not in flight or was sent to another node. A call may
+/// have several attempts in flight, and an answer to any of them is accepted.
 #[derive(Debug, Default)]
 pub struct InFlightAttempts {
     /// The attempts in flight.
@@ -71,7 +71,8 @@
         self.remove(attempt).map(|sent| sent.call)
     }
 
-    /// The unanswered attempts that were sent to `to`, to be fenced over a new connection.
+    /// The unanswered attempts that were sent to the node `to`; they are to be fenced over a new
+    /// connection.
     ///
     /// They remain in flight, as the reply to the fence counts as an answer to the attempt.
     pub fn unanswered_by(&self, to: NodeId) -> Vec<AttemptId> {
--- a/src/once/keyspace.rs
+++ b/src/once/keyspace.rs
@@ -24,23 +24,23 @@
     }
 }
 
-/// Identifies a key within its keyspace. Slots are ordered by the time of minting.
+/// A key without what all keys of its keyspace have in common. Ordered by the time of minting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub(super) struct Slot {
+pub(super) struct LocalKey {
     /// When the key was minted, in milliseconds since the Unix epoch.
     pub minted_unix_ms: u64,
     /// The random part of the key.
     pub nonce: u64,
 }
 
-impl Slot {
-    /// Returns the slot of `key` in its keyspace.
+impl LocalKey {
+    /// Returns the part of `key` that identifies it in its keyspace.
     pub fn of(key: Key) -> Self {
         Self { minted_unix_ms: key.minted_unix_ms, nonce: key.nonce }
     }
 }
 
-/// The attempt that runs a key, with the attempts that wait for its verdict.
+/// The attempt that runs a key, and the attempts that wait for its verdict.
 #[derive(Clone, Debug)]
 pub(super) struct RunningAttempt {
     /// The attempt that was allowed to run.
@@ -49,14 +49,14 @@
     pub waiters: Vec<AttemptId>,
 }
 
-/// The state of a key. A key without an entry never ran or is behind the horizon.
+/// The state of a recorded key.
 #[derive(Clone, Debug)]
 pub(super) enum KeyState {
     /// An attempt was allowed to run it and has no verdict yet.
     Running(Box<RunningAttempt>),
     /// It ran, and this is its answer.
     Answered(Box<HttpAnswer>),
-    /// It may have run, or it ran and its answer was dropped.
+    /// It may have run, or it ran and its answer was dropped; this is the doubt to report.
     Doubted(Doubt),
     /// It never ran here and never will: it was permanently delegated to this node.
     Delegated(NodeId),
@@ -79,15 +79,15 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Keyspace {
     /// The recorded keys, oldest first.
-    pub entries: BTreeMap<Slot, Entry>,
+    pub entries: BTreeMap<LocalKey, Entry>,
     /// Keys minted at or before this time never run, in milliseconds since the Unix epoch.
     pub horizon_unix_ms: u64,
 }
 
 impl Keyspace {
-    /// Whether `slot` is behind the horizon.
-    pub fn is_expired(&self, slot: Slot) -> bool {
-        slot.minted_unix_ms <= self.horizon_unix_ms
+    /// Whether `local_key` is behind the horizon.
+    pub fn is_expired(&self, local_key: LocalKey) -> bool {
+        local_key.minted_unix_ms <= self.horizon_unix_ms
     }
 
     /// Moves the horizon forward; an earlier time has no effect.
@@ -96,18 +96,18 @@
     }
 
     /// Removes and returns all entries behind the horizon, except for running keys.
-    pub fn take_expired(&mut self) -> Vec<(Slot, Entry)> {
-        let end = Slot { minted_unix_ms: self.horizon_unix_ms, nonce: u64::MAX };
-        let expired: Vec<Slot> = self
+    pub fn take_expired(&mut self) -> Vec<(LocalKey, Entry)> {
+        let end = LocalKey { minted_unix_ms: self.horizon_unix_ms, nonce: u64::MAX };
+        let expired: Vec<LocalKey> = self
             .entries
             .range(..=end)
             .filter(|(_, entry)| !matches!(entry.state, KeyState::Running(_)))
-            .map(|(slot, _)| *slot)
+            .map(|(local_key, _)| *local_key)
             .collect();
         let mut taken = Vec::with_capacity(expired.len());
-        for slot in expired {
-            let Some(entry) = self.entries.remove(&slot) else { continue };
-            taken.push((slot, entry));
+        for local_key in expired {
+            let Some(entry) = self.entries.remove(&local_key) else { continue };
+            taken.push((local_key, entry));
         }
         taken
     }
@@ -115,8 +115,8 @@
     /// The earliest minting time of the keys that are not running.
     pub fn oldest_settled_unix_ms(&self) -> Option<u64> {
         let is_settled = |entry: &Entry| !matches!(entry.state, KeyState::Running(_));
-        let (slot, _) = self.entries.iter().find(|(_, entry)| is_settled(entry))?;
-        Some(slot.minted_unix_ms)
+        let (local_key, _) = self.entries.iter().find(|(_, entry)| is_settled(entry))?;
+        Some(local_key.minted_unix_ms)
     }
 }
 
--- a/src/once/ledger.rs
+++ b/src/once/ledger.rs
@@ -9,7 +9,7 @@
 use crate::clock::US_PER_MS;
 
 use super::fingerprint::Fingerprint;
-use super::keyspace::{Entry, KeyState, Keyspace, RunningAttempt, Slot, SpaceId, answer_bytes};
+use super::keyspace::{Entry, KeyState, Keyspace, LocalKey, RunningAttempt, SpaceId, answer_bytes};
 
 /// The memory of one settled entry without its answer, in bytes. Measured; see
 /// `docs/DESIGN-once.md`.
@@ -18,13 +18,13 @@
 /// The limits of a ledger.
 #[derive(Clone, Copy, Debug, Builder)]
 pub struct LedgerOptions {
-    /// How long a caller's key can run after it was minted, in milliseconds.
+    /// How long after it was minted a caller's key can run, in milliseconds.
     #[builder(default = 2 * 3_600_000)]
     pub key_ttl_ms: u64,
     /// The minimum lifetime of callers' keys when the ledger is full, in milliseconds.
     #[builder(default = 15 * 60_000)]
     pub key_ttl_min_ms: u64,
-    /// How long a key for one request can run after it was minted, in milliseconds. Should be the
+    /// How long after it was minted a key for one request can run, in milliseconds. Should be the
     /// longest deadline plus twice `skew_max_ms`.
     #[builder(default = 120_000)]
     pub request_key_ttl_ms: u64,
@@ -58,7 +58,7 @@
 /// Why a key cannot be delegated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DelegateError {
-    /// The key belongs to a node whose keys this node does not hold.
+    /// This node does not hold the keys of the key's owner.
     #[error("the key is not held here")]
     NotHeld,
     /// A key cannot be delegated to the node that holds it.
@@ -95,7 +95,7 @@
     /// The node to which all keys were handed over when this node left.
     pub(super) successor: Option<NodeId>,
     /// Keys with a recorded answer, oldest first; some may have been removed since.
-    pub(super) answered: VecDeque<(SpaceId, Slot)>,
+    pub(super) answered: VecDeque<(SpaceId, LocalKey)>,
     /// The memory of the recorded answers, in bytes.
     pub(super) answers_bytes: usize,
 }
@@ -135,14 +135,14 @@
         let Some(space) = self.spaces.get_mut(&SpaceId::of(key)) else {
             return settled_doubt(Doubt::KeyElsewhere);
         };
-        let slot = Slot::of(key);
-        if let Some(entry) = space.entries.get_mut(&slot) {
+        let local_key = LocalKey::of(key);
+        if let Some(entry) = space.entries.get_mut(&local_key) {
             return offer_known_key(entry, fingerprint, attempt, waiters_max);
         }
-        if space.is_expired(slot) {
+        if space.is_expired(local_key) {
             return settled_doubt(Doubt::KeyExpired);
         }
-        if slot.minted_unix_ms > unix_ms.saturating_add(self.options.skew_max_ms) {
+        if local_key.minted_unix_ms > unix_ms.saturating_add(self.options.skew_max_ms) {
             return settled_not_run(RefusalReason::KeyInvalid);
         }
         if is_full && !self.make_room(unix_ms) {
@@ -152,16 +152,16 @@
         let Some(space) = self.spaces.get_mut(&SpaceId::of(key)) else {
             return settled_doubt(Doubt::KeyElsewhere);
         };
-        if space.is_expired(slot) {
+        if space.is_expired(local_key) {
             return settled_doubt(Doubt::KeyExpired);
         }
         let running = Box::new(RunningAttempt { attempt, waiters: Vec::new() });
         let entry = Entry { fingerprint, state: KeyState::Running(running) };
-        space.entries.insert(slot, entry);
+        space.entries.insert(local_key, entry);
         Offer::Run
     }
 
-    /// Records that the attempt that runs `key` was refused before the target started it.
+    /// Records that the attempt that was to run `key` was refused before the target started it.
     ///
     /// The key can run again. Returns the attempts that get the same refusal.
     pub fn refused(&mut self, key: Key, attempt: AttemptId) -> Vec<AttemptId> {
@@ -186,30 +186,31 @@
         }
     }
 
-    /// Ends the run of `key` by `attempt`: records `settled`, or removes the key if it is `None`.
+    /// Ends the run of `key` by `attempt`: records the state `settled`, or removes the key if it is
+    /// `None`. Returns the attempts that wait for the verdict.
     fn release(
         &mut self,
         key: Key,
         attempt: AttemptId,
         settled: Option<KeyState>,
     ) -> Vec<AttemptId> {
-        let slot = Slot::of(key);
+        let local_key = LocalKey::of(key);
         let Some(space) = self.spaces.get_mut(&SpaceId::of(key)) else { return Vec::new() };
-        let Some(entry) = space.entries.get_mut(&slot) else { return Vec::new() };
+        let Some(entry) = space.entries.get_mut(&local_key) else { return Vec::new() };
         let KeyState::Running(running) = &mut entry.state else { return Vec::new() };
         if running.attempt != attempt {
             return Vec::new();
         }
         let waiters = std::mem::take(&mut running.waiters);
         let Some(state) = settled else {
-            space.entries.remove(&slot);
+            space.entries.remove(&local_key);
             return waiters;
         };
         let added_bytes = state_bytes(&state);
         entry.state = state;
         if added_bytes > 0 {
             self.answers_bytes += added_bytes;
-            self.answered.push_back((SpaceId::of(key), slot));
+            self.answered.push_back((SpaceId::of(key), local_key));
             self.drop_oldest_answers();
         }
         waiters
@@ -218,7 +219,7 @@
     /// Removes a waiting attempt whose caller gave up.
     pub fn abandon_waiter(&mut self, key: Key, attempt: AttemptId) {
         let Some(space) = self.spaces.get_mut(&SpaceId::of(key)) else { return };
-        let Some(entry) = space.entries.get_mut(&Slot::of(key)) else { return };
+        let Some(entry) = space.entries.get_mut(&LocalKey::of(key)) else { return };
         let KeyState::Running(running) = &mut entry.state else { return };
         running.waiters.retain(|waiter| *waiter != attempt);
     }
@@ -240,8 +241,8 @@
         self.advance_horizons(unix_ms);
         let is_full = self.is_full();
         let space = self.spaces.get_mut(&SpaceId::of(key)).ok_or(DelegateError::NotHeld)?;
-        let slot = Slot::of(key);
-        match space.entries.get(&slot).map(|entry| &entry.state) {
+        let local_key = LocalKey::of(key);
+        match space.entries.get(&local_key).map(|entry| &entry.state) {
             Some(KeyState::Delegated(earlier)) if *earlier == to => return Ok(key.delegated_to(to)),
             Some(KeyState::Delegated(earlier)) => {
                 return Err(DelegateError::AlreadyDelegated(*earlier));
@@ -250,14 +251,14 @@
             None => {}
         }
         let minted_max_unix_ms = unix_ms.saturating_add(self.options.skew_max_ms);
-        if space.is_expired(slot) || slot.minted_unix_ms > minted_max_unix_ms {
+        if space.is_expired(local_key) || local_key.minted_unix_ms > minted_max_unix_ms {
             return Err(DelegateError::NotValid);
         }
         if is_full {
             return Err(DelegateError::Full);
         }
         let entry = Entry { fingerprint: Fingerprint(0), state: KeyState::Delegated(to) };
-        space.entries.insert(slot, entry);
+        space.entries.insert(local_key, entry);
         Ok(key.delegated_to(to))
     }
 
@@ -304,7 +305,7 @@
         self.len() * ENTRY_BYTES + self.answers_bytes
     }
 
-    /// Moves the horizon of every keyspace to that of `unix_ms`.
+    /// Moves the horizon of every keyspace to where it must be at `unix_ms`.
     pub(super) fn advance_horizons(&mut self, unix_ms: u64) {
         let LedgerOptions { key_ttl_ms, request_key_ttl_ms, .. } = self.options;
         for (id, space) in &mut self.spaces {
@@ -316,7 +317,7 @@
         }
     }
 
-    /// How long a key of this lifetime can run after it was minted, in milliseconds.
+    /// How long after it was minted a key of this lifetime can run, in milliseconds.
     fn ttl_ms(&self, lifetime: KeyLifetime) -> u64 {
         match lifetime {
             KeyLifetime::Caller => self.options.key_ttl_ms,
@@ -355,8 +356,9 @@
 
     /// Removes keys that are no longer recorded from the front of `answered`.
     fn trim_answered(&mut self) {
-        while let Some((id, slot)) = self.answered.front() {
-            let is_recorded = self.spaces.get(id).is_some_and(|s| s.entries.contains_key(slot));
+        while let Some((id, local_key)) = self.answered.front() {
+            let is_recorded =
+                self.spaces.get(id).is_some_and(|s| s.entries.contains_key(local_key));
             if is_recorded {
                 return;
             }
@@ -367,9 +369,9 @@
     /// Drops the oldest answers beyond the limit. Their keys stay recorded as having run.
     pub(super) fn drop_oldest_answers(&mut self) {
         while self.answers_bytes > self.options.answers_max_bytes {
-            let Some((id, slot)) = self.answered.pop_front() else { return };
+            let Some((id, local_key)) = self.answered.pop_front() else { return };
             let Some(space) = self.spaces.get_mut(&id) else { continue };
-            let Some(entry) = space.entries.get_mut(&slot) else { continue };
+            let Some(entry) = space.entries.get_mut(&local_key) else { continue };
             self.answers_bytes -= state_bytes(&entry.state);
             entry.state = KeyState::Doubted(Doubt::AnswerForgotten);
         }
--- a/src/once/mod.rs
+++ b/src/once/mod.rs
@@ -1,5 +1,5 @@
-//! At-most-once execution: of an idempotency key in the whole fleet, and of an attempt at the node
-//! that receives it.
+//! At-most-once execution: each idempotency key runs at most once in the whole fleet, and each
+//! attempt at most once at the node that receives it.
 //!
 //! On each node the [`Ledger`] records the state of the keys the node owns, the [`AttemptTable`]
 //! the attempts it received and [`InFlightAttempts`] the attempts it sent. An [`Outcome`] combines
--- a/src/once/outcome.rs
+++ b/src/once/outcome.rs
@@ -7,8 +7,8 @@
 pub enum RefusalScope {
     /// Only this request was not run; an earlier one with the same key may have run.
     Request,
-    /// No request with this key had run when the holder of the key made the decision. A verdict
-    /// that is repeated or delayed still refers to the time of the decision.
+    /// No request with this key had run when the holder of the key decided. This holds only for the
+    /// time of the decision, also if the verdict arrives late or repeatedly.
     Key,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// What the sender of a request knows about its attempts.
+/// What the sender of a request knows about the request's attempts.
 ///
 /// A request was not run only if none of its attempts was run: a refusal of the last attempt does
 /// not cover an earlier one whose connection was lost.
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Whether the outcome of an attempt is unknown, so that it may have run.
+    /// Whether an attempt may have run and has no answer.
     pub fn may_have_run(&self) -> bool {
         !self.doubts.is_empty()
     }
@@ -85,8 +85,8 @@
 
 /// Converts a verdict to the form that may be reported outside of the fleet.
 ///
-/// A refusal because the key moved to another node covers the attempt but not the key: the other
-/// node may have run the key already. A sender that cannot ask that node must not report "not run".
+/// A refusal because the key moved to another node covers the attempt but not the key, which the
+/// other node may have run already. A sender that cannot reach that node must not report "not run".
 pub fn external_verdict(verdict: Verdict) -> Verdict {
     let Verdict::NotRun(refusal) = verdict else { return verdict };
     match refusal.reason {
--- a/src/once/watermarks.rs
+++ b/src/once/watermarks.rs
@@ -1,17 +1,17 @@
-//! Sequence-number watermarks that stand in for the evicted attempts of one origin.
+//! Sequence-number watermarks, which replace the removed attempts of one origin (sending node).
 
 use crate::call::AttemptId;
 
-/// Two watermarks over the sequence numbers of one sending node.
+/// Two watermarks over the sequence numbers of one origin.
 ///
-/// Every attempt that was ever recorded is either in the table or below a watermark, so an attempt
-/// that is neither is new, however late it arrives.
+/// Every attempt that was ever recorded is in the table or below a watermark, so an attempt that is
+/// neither is new, however late it arrives.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Watermarks {
     /// Attempts with a smaller sequence number may have run.
     may_have_run_below: u64,
-    /// Attempts with a smaller sequence number that are not below the other watermark and not in
-    /// the table did not run and never will.
+    /// Attempts with a smaller sequence number did not run and never will, unless they are below
+    /// the other watermark or in the table.
     refused_below: u64,
     /// When the watermarks were last used, in microseconds.
     pub last_used_us: u64,
--- a/tests/once_attempts.rs
+++ b/tests/once_attempts.rs
@@ -1,4 +1,4 @@
-//! Tests the attempt table and the combined outcome of a request.
+//! Tests the attempt table, and the verdict of a request with several attempts.
 
 use aspenspring::call::{AttemptId, Doubt, HttpAnswer, NodeId, Refusal, RefusalReason, Verdict};
 use aspenspring::once::{
@@ -170,7 +170,7 @@
     assert_eq!(external_verdict(shed.clone()), shed);
 }
 
-/// A table that is too small makes a node refuse calls while it has CPU time left.
+/// With a smaller table, a node would refuse calls although it has CPU time left.
 #[test]
 fn default_limits_have_room_for_ten_thousand_answers_per_second() {
     let mut table = AttemptTable::new(AttemptTableOptions::builder().build());
--- a/tests/once_key.rs
+++ b/tests/once_key.rs
@@ -1,4 +1,4 @@
-//! Tests the text form of idempotency keys, claim row keys and delegated keys.
+//! Tests the text form of idempotency keys, the row keys of claims, and delegated keys.
 
 use aspenspring::call::key::{FOREIGN_MAX_BYTES, claim_row_key};
 use aspenspring::call::{Key, KeyTextError, NodeId, ParsedKey};
--- a/tests/once_world/node.rs
+++ b/tests/once_world/node.rs
@@ -18,13 +18,16 @@
     pub key: Key,
 }
 
+/// One incarnation of a simulated node.
 pub struct Node {
     pub id: NodeId,
     pub ledger: Ledger,
     pub attempt_table: AttemptTable,
     pub queue: Vec<AdmittedAttempt>,
     pub running: Vec<AdmittedAttempt>,
+    /// The attempts that arrived.
     pub seen: HashSet<AttemptId>,
+    /// Whether the node is paused.
     pub frozen: bool,
 }
 
