--- a/src/mesh/crash.rs
+++ b/src/mesh/crash.rs
@@ -8,7 +8,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::blame;
+use super::crash_reports;
 use super::fingerprint::Fingerprint;
 use super::frame::Call;
 use super::http1::Connection;
@@ -33,7 +33,7 @@
 
 /// Interrupted requests for which it is not yet known whether the target has crashed.
 #[derive(Debug, Default)]
-pub struct BrokenRequests {
+pub struct InterruptedRequests {
     requests: RefCell<Vec<InterruptedRequest>>,
     is_checking: Cell<bool>,
     /// Notified when the check has finished.
@@ -43,19 +43,22 @@
 /// Records that the target broke off a call. If the target then refuses connections, it has
 /// crashed, and one of the requests it was running may be the cause; otherwise only this answer was
 /// lost.
-pub fn note_broken(node: &Rc<Node>, instance: &Instance, call: &Call) {
+pub fn note_interrupted(node: &Rc<Node>, instance: &Instance, call: &Call) {
     let path = call.path.split('?').next().unwrap_or_default().to_owned();
-    let broken = &node.target.broken;
-    broken.requests.borrow_mut().push(InterruptedRequest { fingerprint: call.fingerprint(), path });
-    if !broken.is_checking.replace(true) {
+    let interrupted = &node.target.interrupted;
+    interrupted
+        .requests
+        .borrow_mut()
+        .push(InterruptedRequest { fingerprint: call.fingerprint(), path });
+    if !interrupted.is_checking.replace(true) {
         spawn_local(check_target(Rc::clone(node), instance.clone()));
     }
 }
 
 /// If the target refuses connections, waits until all nodes have been informed and crash reports of
 /// other nodes from the same moment have arrived, so that a retry takes them into account.
-pub async fn until_known(node: &Node) {
-    let checked = node.target.broken.checked.notified();
+pub async fn wait_for_check(node: &Node) {
+    let checked = node.target.interrupted.checked.notified();
     match Connection::open(node.target.address).await {
         Ok(connection) => node.target.keep(connection),
         Err(error) if error.is_refused() => {
@@ -70,13 +73,13 @@
 async fn check_target(node: Rc<Node>, instance: Instance) {
     sleep(CRASH_CHECK_DELAY).await;
     let opened = Connection::open(node.target.address).await;
-    let broken = &node.target.broken;
-    broken.is_checking.set(false);
-    let requests = broken.requests.take();
+    let interrupted = &node.target.interrupted;
+    interrupted.is_checking.set(false);
+    let requests = interrupted.requests.take();
     match opened {
         Ok(connection) => node.target.keep(connection),
-        Err(error) if error.is_refused() => blame::note_crash(&node, &instance, &requests),
+        Err(error) if error.is_refused() => crash_reports::note_crash(&node, &instance, &requests),
         Err(_) => {}
     }
-    broken.checked.notify_waiters();
+    interrupted.checked.notify_waiters();
 }
--- a/src/mesh/blame.rs
+++ b/src/mesh/crash_reports.rs
@@ -33,7 +33,7 @@
 }
 
 /// Records that the target of another node crashed.
-pub fn take_crash(node: &Node, crash: &Crash) {
+pub fn receive_crash(node: &Node, crash: &Crash) {
     node.quarantine.apply_crash(crash);
     if let Some(held) = crash.held {
         log_quarantined(node, held, String::new(), "peer");
@@ -41,7 +41,7 @@
 }
 
 /// Merges what another node or the store knows about suspects.
-pub fn take_suspicions(node: &Node, suspicions: &[Suspicion], learned_from: &'static str) {
+pub fn receive_suspicions(node: &Node, suspicions: &[Suspicion], learned_from: &'static str) {
     for suspicion in suspicions {
         if node.quarantine.apply_suspicion(suspicion) {
             log_quarantined(node, suspicion.fingerprint, String::new(), learned_from);
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -4,11 +4,11 @@
 //! costs more than a whole routing decision. docs/DESIGN-platform.md has the figures.
 
 pub mod ancestry;
-pub mod blame;
 pub mod budget;
 pub mod callers;
 pub mod codec;
 pub mod crash;
+pub mod crash_reports;
 pub mod directory;
 pub mod failing;
 pub mod fingerprint;
--- a/src/mesh/peers.rs
+++ b/src/mesh/peers.rs
@@ -12,7 +12,7 @@
 
 use crate::event::{EventLog, LogEvent};
 
-use super::blame;
+use super::crash_reports;
 use super::directory::Peer;
 use super::frame::{Call, Frame};
 use super::link::Link;
@@ -108,11 +108,13 @@
             peer.take_status(status);
         }
         Frame::Load(load) => peer.take_load(load),
-        Frame::Crash(crash) => blame::take_crash(node, &crash),
+        Frame::Crash(crash) => crash_reports::receive_crash(node, &crash),
         Frame::Cleared(fingerprint) => {
             node.quarantine.clear(fingerprint);
         }
-        Frame::Suspicions(suspicions) => blame::take_suspicions(node, &suspicions, "peer"),
+        Frame::Suspicions(suspicions) => {
+            crash_reports::receive_suspicions(node, &suspicions, "peer")
+        }
         Frame::QuotaGranted { team, grant } => admission::handle_answer(node, &link, team, grant),
         Frame::Site { document } => match node.apply_document(&document, "peer") {
             Ok(_) => {}
--- a/src/mesh/receiver.rs
+++ b/src/mesh/receiver.rs
@@ -16,8 +16,8 @@
 use crate::event::LogEvent;
 
 use super::ancestry::Origin;
-use super::blame;
-use super::crash::{self, note_broken};
+use super::crash::{self, note_interrupted};
+use super::crash_reports;
 use super::fingerprint;
 use super::frame::{Call, CallEnd, Doubt, Header, NotRun, TargetAnswer};
 use super::gate::GateError;
@@ -192,9 +192,9 @@
         Ok(Ok(reply)) => reply,
         Ok(Err(error)) => {
             if matches!(error, ExchangeError::Broken(_)) {
-                note_broken(node, instance, call);
+                note_interrupted(node, instance, call);
                 if may_be_repeated(node, call) {
-                    crash::until_known(node).await;
+                    crash::wait_for_check(node).await;
                 }
             }
             return target_broke(error.to_string());
@@ -209,7 +209,7 @@
     // Only a success clears the request: one that crashes targets may also be declined, or fail on
     // an inner call, before it reaches the point where it crashes.
     if result.end.went_well() && !node.quarantine.is_empty() {
-        blame::note_success(node, call.fingerprint());
+        crash_reports::note_success(node, call.fingerprint());
     }
     result
 }
--- a/src/mesh/target.rs
+++ b/src/mesh/target.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use super::crash::BrokenRequests;
+use super::crash::InterruptedRequests;
 use super::failing::FailureShare;
 use super::frame::Load;
 use super::gate::Gate;
@@ -74,7 +74,7 @@
     /// The share of its recent answers that were failures.
     pub failing: FailureShare,
     /// The requests whose connection to the target broke recently.
-    pub broken: BrokenRequests,
+    pub interrupted: InterruptedRequests,
     current: RefCell<Option<Rc<Instance>>>,
     /// The last heartbeat of each target that has not left, by its id.
     last_heartbeats: RefCell<HashMap<String, LastHeartbeat>>,
@@ -90,7 +90,7 @@
             address,
             gate: Rc::default(),
             failing: FailureShare::default(),
-            broken: BrokenRequests::default(),
+            interrupted: InterruptedRequests::default(),
             current: RefCell::default(),
             last_heartbeats: RefCell::default(),
             left: RefCell::default(),
--- a/src/platform/members.rs
+++ b/src/platform/members.rs
@@ -14,7 +14,7 @@
 use super::quarantine;
 use super::store::{Row, Store};
 use crate::event::LogEvent;
-use crate::mesh::blame;
+use crate::mesh::crash_reports;
 use crate::mesh::node::Node;
 use crate::mesh::peers;
 
@@ -81,7 +81,7 @@
 fn apply_row(node: &Rc<Node>, row: &Result<Row, String>) -> eyre::Result<()> {
     let row = row.as_ref().map_err(|error| eyre!("{error}"))?;
     if let Some(suspicion) = quarantine::parse_row(row)? {
-        blame::take_suspicions(node, &[suspicion], "table");
+        crash_reports::receive_suspicions(node, &[suspicion], "table");
         return Ok(());
     }
     let failure_domain = String::from_utf8(row.value()?)?;
