--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -4,11 +4,10 @@
 //! costs more than a whole routing decision. docs/DESIGN-platform.md has the figures.
 
 pub mod ancestry;
-pub mod blame;
 pub mod budget;
-pub mod callers;
 pub mod codec;
 pub mod crash;
+pub mod crash_reports;
 pub mod directory;
 pub mod failing;
 pub mod fingerprint;
@@ -17,9 +16,9 @@
 pub mod gate;
 pub mod header_names;
 pub mod http1;
+pub mod inbound;
 pub mod incarnation;
 pub mod ingress;
-pub mod inquiry;
 pub mod launch;
 pub mod levels;
 pub mod linger;
@@ -28,6 +27,7 @@
 pub mod node;
 pub mod overload;
 pub mod peers;
+pub mod polling;
 pub mod quarantine;
 pub mod receiver;
 pub mod report;
--- a/src/mesh/peers.rs
+++ b/src/mesh/peers.rs
@@ -12,7 +12,7 @@
 
 use crate::event::{EventLog, LogEvent};
 
-use super::blame;
+use super::crash_reports;
 use super::directory::Peer;
 use super::frame::{Call, Frame};
 use super::link::Link;
@@ -55,7 +55,7 @@
         // that says hello can be reached, so it is dialled again at once.
         let connected = tokio::select! {
             connected = socket::connect(peer.address) => connected,
-            () = peer.greeted.notified() => continue,
+            () = peer.hello_received.notified() => continue,
         };
         if let Ok(stream) = connected {
             let connected_at = Instant::now();
@@ -67,7 +67,7 @@
         }
         tokio::select! {
             () = sleep(backoff) => backoff = (backoff * 2).min(REDIAL_BACKOFF_MAX),
-            () = peer.greeted.notified() => backoff = REDIAL_BACKOFF_MIN,
+            () = peer.hello_received.notified() => backoff = REDIAL_BACKOFF_MIN,
         }
     }
     node.directory.remove(peer.address);
@@ -81,7 +81,7 @@
     node.add_dialled(&link);
     let on_frame = |frame| match frame {
         Frame::Hello(hello) => {
-            node.directory.take_hello(&hello);
+            node.directory.update_from_hello(&hello);
             peer.link.replace(Some(Rc::clone(&link)));
             peer.was_linked.set(true);
             node.log.emit(&LogEvent::LinkUp {
@@ -100,19 +100,21 @@
             }
         }
         Frame::Answer { id, end, load } => {
-            peer.take_load(load);
+            peer.update_load(load);
             link.end_call(id, end);
         }
         Frame::Status(status) => {
             node.request_newer_site(&status, &link);
-            peer.take_status(status);
+            peer.update_status(status);
         }
-        Frame::Load(load) => peer.take_load(load),
-        Frame::Crash(crash) => blame::take_crash(node, &crash),
+        Frame::Load(load) => peer.update_load(load),
+        Frame::Crash(crash) => crash_reports::receive_crash(node, &crash),
         Frame::Cleared(fingerprint) => {
             node.quarantine.clear(fingerprint);
         }
-        Frame::Suspicions(suspicions) => blame::take_suspicions(node, &suspicions, "peer"),
+        Frame::Suspicions(suspicions) => {
+            crash_reports::receive_suspicions(node, &suspicions, "peer")
+        }
         Frame::QuotaGranted { team, grant } => admission::handle_answer(node, &link, team, grant),
         Frame::Site { document } => match node.apply_document(&document, "peer") {
             Ok(_) => {}
@@ -135,7 +137,7 @@
         node.log.emit(&LogEvent::LinkLost {
             peer: peer.address,
             waiting: peer.in_flight.get(),
-            silent_ms: link.heard().elapsed().as_millis() as u64,
+            silent_ms: link.last_received().elapsed().as_millis() as u64,
             detail: error.to_string(),
         });
     }
@@ -148,12 +150,13 @@
     loop {
         sleep(WATCH_INTERVAL).await;
         for link in node.dialled() {
-            if link.unanswered() > PING_TIMEOUT {
+            if link.ping_age() > PING_TIMEOUT {
                 link.close();
                 continue;
             }
-            let ping_after = if link.is_awaiting() { PING_PENDING_AFTER } else { PING_IDLE_AFTER };
-            if link.heard().elapsed() >= ping_after {
+            let ping_after =
+                if link.is_awaiting_frames() { PING_PENDING_AFTER } else { PING_IDLE_AFTER };
+            if link.last_received().elapsed() >= ping_after {
                 link.ping();
             }
         }
@@ -188,12 +191,12 @@
         Frame::Hello(hello) => {
             add_peer(&node, hello.address, &hello.failure_domain);
             if let Some(peer) = node.directory.get(hello.address) {
-                peer.greeted.notify_waiters();
+                peer.hello_received.notify_waiters();
             }
             for incarnation in &hello.left_incarnations {
                 node.target.mark_left(incarnation);
             }
-            node.callers.add(&link, &hello.failure_domain);
+            node.inbound.add(&link, &hello.failure_domain);
             link.send(&Frame::Hello(node.hello(Vec::new())));
             let suspicions = node.quarantine.suspicions();
             if !suspicions.is_empty() {
@@ -211,7 +214,7 @@
                 call.abort();
             }
         }
-        Frame::Ping => link.send(&node.callers.load_frame(&node.status())),
+        Frame::Ping => link.send(&node.inbound.load_frame(&node.status())),
         Frame::NeighboursWanted => link.send(&Frame::Neighbours(node.directory.neighbours())),
         Frame::SiteWanted => {
             if let Some(active_site) = node.active_site() {
@@ -239,7 +242,7 @@
     for (_, call) in running.borrow_mut().drain() {
         call.abort();
     }
-    node.callers.remove(&link);
+    node.inbound.remove(&link);
 }
 
 /// Runs one call and sends its answer.
--- a/src/mesh/trail.rs
+++ b/src/mesh/trail.rs
@@ -81,7 +81,7 @@
         heard_ms: silent_ms(node, trail),
         admitted_percent: (node.overload.admission_probability(ended.route) * 100.0) as u32,
         limited_by: node.overload.limited_by(ended.route).unwrap_or_default(),
-        repeats_percent: (node.budgets.left(&trail.service) * 100.0) as u32,
+        repeats_percent: (node.budgets.remaining(&trail.service) * 100.0) as u32,
         config_version: node.site_version(),
         team: trail.team.to_string(),
         quota: trail.quota.as_ref().map(QuotaState::to_string).unwrap_or_default(),
@@ -95,7 +95,7 @@
 fn silent_ms(node: &Node, trail: &Trail) -> u64 {
     let Some(Some(address)) = trail.offered.last() else { return 0 };
     let link = node.directory.get(*address).and_then(|peer| peer.open_link());
-    link.map_or(0, |link| link.heard().elapsed().as_millis() as u64)
+    link.map_or(0, |link| link.last_received().elapsed().as_millis() as u64)
 }
 
 /// A request that is being answered. When dropped, records whether its caller has disconnected.
