--- a/src/mesh/budget.rs
+++ b/src/mesh/budget.rs
@@ -10,13 +10,13 @@
 use super::settings::RetrySection;
 
 /// Fraction of the permitted retry share that a node uses. The rest absorbs uneven load: retries
-/// from one level of the call tree reach some nodes of the next more than others.
+/// from one level of the call tree are spread unevenly over the nodes of the next.
 const SHARE_FRACTION: f64 = 0.75;
 /// Fraction of the slack that all nodes together use; each decides at random whether to use its
 /// part.
 const SLACK_FRACTION: f64 = 0.4;
-/// Fraction of a budget that each rank leaves to more important ones. Retrying one of the few calls
-/// of an urgent request usually saves it; retrying one of the many calls of a page rarely does.
+/// Fraction of a budget that each rank leaves to more important ones. A retry usually saves an
+/// important request that makes few calls, but rarely a page that makes many.
 const RESERVED_PER_RANK: f64 = 0.25;
 /// Least fraction of the budget available to any rank.
 const RANK_FRACTION_MIN: f64 = 0.25;
@@ -81,7 +81,7 @@
 ///
 /// A call made by a retried request counts as a retry at its service too, although it was not
 /// retried itself. It is charged to the same budget, so that a failure deep in the call tree, where
-/// a retry costs one run, can use the whole budget if nothing above is retried.
+/// a retry costs one run, can use the whole budget if no call above it is retried.
 #[derive(Debug)]
 pub struct RetryBudgets {
     share: f64,
--- a/src/mesh/codec.rs
+++ b/src/mesh/codec.rs
@@ -1,8 +1,8 @@
 //! Encodes and decodes the frames on a link.
 //!
 //! A frame is a length prefix of four bytes, followed by postcard. In calls and answers, strings
-//! that both ends already know are replaced by numbers (see `words`), which cuts a call to a fifth
-//! of its plain size.
+//! that both ends already know are replaced by numbers (see `words`), which reduces a call to a
+//! fifth of its plain size.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
--- a/src/mesh/crash.rs
+++ b/src/mesh/crash.rs
@@ -1,4 +1,4 @@
-//! Finds out whether a target that dropped its connections has crashed.
+//! Detects whether a target that closed its connections has crashed.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,8 +19,8 @@
 /// even a busy node has noticed all requests that were interrupted.
 const CRASH_CHECK_DELAY: Duration = Duration::from_millis(30);
 
-/// Time within which news of a crash reaches all nodes, unless packets are lost or nodes are busy.
-const CRASH_NEWS_DELAY: Duration = Duration::from_millis(20);
+/// Time within which a crash report reaches all nodes, unless packets are lost or nodes are busy.
+const CRASH_REPORT_DELAY: Duration = Duration::from_millis(20);
 
 /// A request that the target was running when its connection broke.
 #[derive(Clone, Debug)]
@@ -40,10 +40,10 @@
     checked: Notify,
 }
 
-/// Records that the target broke off a call. If the target then refuses connections, it has
-/// crashed, and one of the requests it was running may be the cause; otherwise only this answer was
-/// lost.
-pub fn note_interrupted(node: &Rc<Node>, instance: &Instance, call: &Call) {
+/// Records that the target closed the connection during a call. If the target then refuses
+/// connections, it has crashed, and one of the requests it was running may be the cause; otherwise
+/// only this answer was lost.
+pub fn record_interrupted(node: &Rc<Node>, instance: &Instance, call: &Call) {
     let path = call.path.split('?').next().unwrap_or_default().to_owned();
     let interrupted = &node.target.interrupted;
     interrupted
@@ -55,15 +55,15 @@
     }
 }
 
-/// If the target refuses connections, waits until all nodes have been informed and crash reports of
-/// other nodes from the same moment have arrived, so that a retry takes them into account.
+/// If the target refuses connections, waits until the crash has been reported to all nodes and
+/// simultaneous crash reports of other nodes have arrived. A retry then takes them into account.
 pub async fn wait_for_check(node: &Node) {
     let checked = node.target.interrupted.checked.notified();
     match Connection::open(node.target.address).await {
         Ok(connection) => node.target.keep(connection),
         Err(error) if error.is_refused() => {
             checked.await;
-            sleep(CRASH_NEWS_DELAY).await;
+            sleep(CRASH_REPORT_DELAY).await;
         }
         Err(_) => {}
     }
@@ -78,7 +78,9 @@
     let requests = interrupted.requests.take();
     match opened {
         Ok(connection) => node.target.keep(connection),
-        Err(error) if error.is_refused() => crash_reports::note_crash(&node, &instance, &requests),
+        Err(error) if error.is_refused() => {
+            crash_reports::record_crash(&node, &instance, &requests)
+        }
         Err(_) => {}
     }
     interrupted.checked.notify_waiters();
--- a/src/mesh/crash_reports.rs
+++ b/src/mesh/crash_reports.rs
@@ -11,12 +11,12 @@
 use super::target::Instance;
 
 /// Records that the local target crashed while running `running`, and informs all other nodes.
-pub fn note_crash(node: &Node, instance: &Instance, running: &[InterruptedRequest]) {
+pub fn record_crash(node: &Node, instance: &Instance, running: &[InterruptedRequest]) {
     if node.target.mark_unavailable(&instance.incarnation) {
         node.target_changed("refused_connection");
     }
     let requests = running.iter().map(|request| request.fingerprint).collect();
-    let crash = node.quarantine.note_crash(requests);
+    let crash = node.quarantine.record_crash(requests);
     let (suspects, _) = node.quarantine.counts();
     node.log.emit(&LogEvent::TargetCrashed {
         instance: instance.incarnation.id.clone(),
@@ -40,7 +40,7 @@
     }
 }
 
-/// Merges what another node or the store knows about suspects.
+/// Merges the suspects known to another node or the store.
 pub fn receive_suspicions(node: &Node, suspicions: &[Suspicion], learned_from: &'static str) {
     for suspicion in suspicions {
         if node.quarantine.apply_suspicion(suspicion) {
@@ -50,12 +50,12 @@
 }
 
 /// Records that a request succeeded on the local target.
-pub fn note_success(node: &Node, fingerprint: Fingerprint) {
+pub fn record_success(node: &Node, fingerprint: Fingerprint) {
     let cleared = node.quarantine.clear(fingerprint);
     if cleared.was_suspect {
         node.inbound.broadcast(&Frame::Cleared(fingerprint));
     }
-    if cleared.was_held {
+    if cleared.was_quarantined {
         node.quarantine.save(fingerprint);
         let fingerprint = fingerprint.to_string();
         node.log.emit(&LogEvent::RequestReleased { fingerprint });
@@ -68,7 +68,7 @@
     path: String,
     learned_from: &'static str,
 ) {
-    let Standing::Held(left) = node.quarantine.standing(fingerprint) else { return };
+    let Standing::Quarantined(left) = node.quarantine.standing(fingerprint) else { return };
     node.log.emit(&LogEvent::RequestHeld {
         fingerprint: fingerprint.to_string(),
         path,
--- a/src/mesh/directory.rs
+++ b/src/mesh/directory.rs
@@ -1,4 +1,4 @@
-//! Tracks the other nodes and picks the destination of each call.
+//! Keeps the state of the other nodes (peers), and picks the destination of each call.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -11,20 +11,20 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use super::failing::{FailureShare, capacity_weight};
+use super::failure_share::{FailureShare, capacity_weight};
 use super::frame::{Hello, Load, Neighbour, Status};
 use super::link::Link;
 use super::overload::ServiceView;
 use super::teams::quota::Fleet;
 
-/// Utilization up to which a target in the same failure domain is preferred. Traffic between
+/// Utilisation up to which a target in the same failure domain is preferred. Traffic between
 /// failure domains is expensive, but queueing costs more.
-const LOCAL_UTILIZATION_MAX: f64 = 0.95;
-/// Cost of being in another failure domain, in units of utilization.
+const SAME_DOMAIN_UTILISATION_MAX: f64 = 0.95;
+/// Cost of being in another failure domain, in units of utilisation.
 const CROSS_DOMAIN_COST: f64 = 0.35;
-/// Factor on the utilization of a target that has just started.
+/// Factor on the utilisation of a target that has just started.
 const COLD_FACTOR: f64 = 2.0;
-/// Cost, in units of utilization, of a node that is being avoided, or that has been silent for
+/// Cost, in units of utilisation, of a node that is being avoided, or that has been silent for
 /// `SUSPECT_AFTER` with pending calls.
 const SUSPECT_COST: f64 = 3.0;
 /// Silence on a link with pending calls after which other nodes are preferred.
@@ -44,7 +44,7 @@
     pub address: SocketAddr,
     /// Its failure domain.
     pub failure_domain: RefCell<String>,
-    /// The connection that calls are sent over.
+    /// The link over which calls are sent.
     pub link: RefCell<Option<Rc<Link>>>,
     /// Its last reported status.
     pub status: RefCell<Status>,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The connection that calls are sent over, if it is open.
+    /// The link over which calls are sent, if it is open.
     pub fn open_link(&self) -> Option<Rc<Link>> {
         self.link.borrow().as_ref().filter(|link| link.is_open()).cloned()
     }
@@ -94,7 +94,7 @@
     pub fn update_status(&self, status: Status) {
         let load = status.load;
         if self.status.borrow().incarnation != status.incarnation {
-            self.failing.forget();
+            self.failing.reset();
         }
         *self.status.borrow_mut() = status;
         self.update_load(load);
@@ -105,47 +105,47 @@
         self.avoided_until.set(Some(Instant::now() + AVOID_AFTER_FAILURE));
     }
 
-    /// Cost of sending it a call: the utilization of its target, with penalties for failures and
+    /// Cost of sending it a call: the utilisation of its target, with penalties for failures and
     /// silence.
     fn cost(&self, now: Instant) -> f64 {
         let status = self.status.borrow();
         let sent_since = self.in_flight.get().saturating_sub(self.in_flight_at_update.get());
-        let mut utilization = utilization_of(status.load, sent_since, status.cold);
+        let mut utilisation = utilisation_of(status.load, sent_since, status.cold);
         if self.avoided_until.get().is_some_and(|until| now < until) {
-            utilization += SUSPECT_COST;
+            utilisation += SUSPECT_COST;
         }
         let link = self.link.borrow();
         let is_silent =
             link.as_ref().is_some_and(|link| now - link.last_received() > SUSPECT_AFTER);
         if is_silent && self.in_flight.get() > 0 {
-            utilization += SUSPECT_COST;
+            utilisation += SUSPECT_COST;
         }
-        utilization + self.failing.cost(now)
+        utilisation + self.failing.cost(now)
     }
 }
 
-/// Utilization of a target, as a fraction of its limit; above 1 if requests are queued.
-pub fn utilization_of(load: Load, sent_since: u32, is_cold: bool) -> f64 {
+/// Utilisation of a target, as a fraction of its limit; above 1 if requests are queued.
+pub fn utilisation_of(load: Load, sent_since: u32, is_cold: bool) -> f64 {
     let work = f64::from(load.running + load.waiting + sent_since);
-    let utilization = (work + 1.0) / f64::from(load.limit.max(1));
-    if is_cold { utilization * COLD_FACTOR } else { utilization }
+    let utilisation = (work + 1.0) / f64::from(load.limit.max(1));
+    if is_cold { utilisation * COLD_FACTOR } else { utilisation }
 }
 
 /// Where a call is sent.
 #[derive(Clone, Debug)]
 pub enum Destination {
     /// The local target.
-    Own,
+    Local,
     /// The target of another node.
     Peer(Rc<Peer>),
 }
 
-/// What a destination is picked for.
+/// Criteria for picking a destination.
 pub struct PickRequest<'a> {
     /// The service.
     pub service: &'a str,
-    /// Utilization of the local target, if that may take the call.
-    pub own_utilization: Option<f64>,
+    /// Utilisation of the local target, if it may run the call.
+    pub local_utilisation: Option<f64>,
     /// Nodes that were already tried.
     pub tried: &'a [SocketAddr],
 }
@@ -196,7 +196,7 @@
     }
 
     /// Whether another node is in the same failure domain.
-    fn is_near(&self, peer: &Peer) -> bool {
+    fn is_same_domain(&self, peer: &Peer) -> bool {
         *peer.failure_domain.borrow() == self.own_failure_domain
     }
 
@@ -235,25 +235,25 @@
     /// Number of ready targets of `service` on other nodes: in the same failure domain, and in
     /// total.
     pub fn remote_targets(&self, service: &str) -> (usize, usize) {
-        let (mut near, mut all) = (0, 0);
+        let (mut in_domain, mut all) = (0, 0);
         for peer in self.peers.borrow().values() {
             let status = peer.status.borrow();
             if !status.ready || status.service != service {
                 continue;
             }
             all += 1;
-            near += usize::from(self.is_near(peer));
+            in_domain += usize::from(self.is_same_domain(peer));
         }
-        (near, all)
+        (in_domain, all)
     }
 
     /// Number of linked nodes of the same failure domain with a lower address than this one: those
     /// that reach the store, and all.
-    pub fn local_predecessors(&self) -> (usize, usize) {
+    pub fn predecessors_in_domain(&self) -> (usize, usize) {
         let (mut with_store, mut all) = (0, 0);
         for peer in self.peers.borrow().values() {
             let is_before = peer.address < self.own_address;
-            if !is_before || !self.is_near(peer) || peer.open_link().is_none() {
+            if !is_before || !self.is_same_domain(peer) || peer.open_link().is_none() {
                 continue;
             }
             all += 1;
@@ -262,8 +262,8 @@
         (with_store, all)
     }
 
-    /// The link to a random node with a newer configuration than `version`. Random, as the node
-    /// that was asked before may not answer.
+    /// The link to a random node with a newer configuration than `version`. Random, as the
+    /// previously chosen node may not answer.
     pub fn link_to_newer_site(&self, version: u64, rng: &mut impl Rng) -> Option<Rc<Link>> {
         let peers = self.peers.borrow();
         let newer = peers.values().filter(|peer| peer.status.borrow().site_version > version);
@@ -293,8 +293,8 @@
     pub fn pick(&self, wanted: &PickRequest<'_>, rng: &mut impl Rng) -> Option<Destination> {
         let now = Instant::now();
         let mut cheapest: Option<(f64, Destination)> = None;
-        if let Some(utilization) = wanted.own_utilization {
-            cheapest = Some((utilization, Destination::Own));
+        if let Some(utilisation) = wanted.local_utilisation {
+            cheapest = Some((utilisation, Destination::Local));
         }
         for peer in self.peers.borrow().values() {
             if wanted.tried.contains(&peer.address) || peer.open_link().is_none() {
@@ -307,8 +307,9 @@
                 }
             }
             let mut cost = peer.cost(now);
-            if !self.is_near(peer) {
-                cost = cost.max(LOCAL_UTILIZATION_MAX - CROSS_DOMAIN_COST) + CROSS_DOMAIN_COST;
+            if !self.is_same_domain(peer) {
+                cost =
+                    cost.max(SAME_DOMAIN_UTILISATION_MAX - CROSS_DOMAIN_COST) + CROSS_DOMAIN_COST;
             }
             cost += rng.random::<f64>() * COST_JITTER;
             if cheapest.as_ref().is_none_or(|(least, _)| cost < *least) {
--- a/src/mesh/failing.rs
+++ b/src/mesh/failure_share.rs
@@ -1,4 +1,5 @@
-//! Tracks the recent failure share of a target, and derives its cost and weight.
+//! Tracks the recent share of failures among a target's answers, and derives the cost and the
+//! capacity weight of the target from it.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -20,7 +21,7 @@
 
 impl FailureShare {
     /// Records one answer.
-    pub fn note(&self, is_failure: bool) {
+    pub fn record(&self, is_failure: bool) {
         /// Weight of one answer.
         const WEIGHT: f64 = 0.05;
         let sample = if is_failure { 1.0 } else { 0.0 };
@@ -31,7 +32,7 @@
     }
 
     /// Resets the share when a new incarnation takes over.
-    pub fn forget(&self) {
+    pub fn reset(&self) {
         self.share.set(0.0);
     }
 
@@ -49,7 +50,7 @@
         self.share.get() * 0.5_f64.powf(half_lives)
     }
 
-    /// Cost added to the target's utilization. A failure deep in a call tree fails the whole tree,
+    /// Cost added to the target's utilisation. A failure deep in a call tree fails the whole tree,
     /// so a target that fails one call in three is avoided until all other queues are full.
     pub fn cost(&self, now: Instant) -> f64 {
         /// Cost of a target that always fails.
--- a/src/mesh/follower.rs
+++ b/src/mesh/follower.rs
@@ -1,8 +1,8 @@
 //! Decides which nodes follow the configuration in the store on behalf of the others.
 //!
-//! A few nodes in each failure domain do; the others learn of new versions over their links. Each
+//! A few nodes in each failure domain do; the others receive new versions over their links. Each
 //! node decides for itself from the status of its peers, so no election is needed, and a node that
-//! has lost all its links follows the store itself.
+//! has lost all its links follows the store on its own.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -14,16 +14,16 @@
 /// changes while the connection of the other is dead but not yet detected as such.
 const FOLLOWERS_PER_DOMAIN: usize = 2;
 
-/// How a node learns of configuration changes.
+/// How a node receives configuration changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
     /// Follows the store.
     #[default]
-    Follows,
+    Follower,
     /// Follows the store in place of nodes that can't reach it.
-    Substitutes,
-    /// Learns of changes from other nodes.
-    Hears,
+    Substitute,
+    /// Receives changes from other nodes.
+    Informed,
 }
 
 impl Role {
@@ -31,20 +31,20 @@
     /// domain: those that reach the store, and all.
     pub fn of(before_with_store: usize, before: usize) -> Self {
         if before < FOLLOWERS_PER_DOMAIN {
-            Self::Follows
+            Self::Follower
         } else if before_with_store < FOLLOWERS_PER_DOMAIN {
-            Self::Substitutes
+            Self::Substitute
         } else {
-            Self::Hears
+            Self::Informed
         }
     }
 
     /// The name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Follows => "follows",
-            Self::Substitutes => "substitutes",
-            Self::Hears => "hears",
+            Self::Follower => "follows",
+            Self::Substitute => "substitutes",
+            Self::Informed => "hears",
         }
     }
 }
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub struct StoreWatch {
     /// Wakes the task that follows the store, if this node's role requires it.
-    pub to_follow: Notify,
+    pub follow_requested: Notify,
     /// Wakes the task that waits for the store's answer when this node becomes the first of its
     /// failure domain.
     pub became_first: Notify,
@@ -66,7 +66,7 @@
 impl Default for StoreWatch {
     fn default() -> Self {
         Self {
-            to_follow: Notify::new(),
+            follow_requested: Notify::new(),
             became_first: Notify::new(),
             reaches_store: Cell::new(true),
             is_first: Cell::new(true),
@@ -92,8 +92,8 @@
     /// has changed.
     pub fn update_role(&self, before_with_store: usize, before: usize) -> bool {
         let (role, is_first) = (Role::of(before_with_store, before), before_with_store == 0);
-        if role != Role::Hears {
-            self.to_follow.notify_one();
+        if role != Role::Informed {
+            self.follow_requested.notify_one();
         }
         let was_first = self.is_first.replace(is_first);
         if is_first && !was_first {
@@ -105,14 +105,14 @@
     }
 
     /// Records an answer of the store.
-    pub fn note_answer(&self) {
+    pub fn record_answer(&self) {
         self.reaches_store.set(true);
         self.last_answer_at.set(Instant::now());
     }
 
     /// Marks the store as unreachable until it answers again, so that other nodes follow it
     /// instead.
-    pub fn note_unreachable(&self) {
+    pub fn mark_unreachable(&self) {
         self.reaches_store.set(false);
     }
 
--- a/src/mesh/frame.rs
+++ b/src/mesh/frame.rs
@@ -25,7 +25,7 @@
         /// Load of the target.
         load: Load,
     },
-    /// Cancels a call, as nobody waits for its answer any more.
+    /// Cancels a call whose answer is no longer needed.
     Cancel {
         /// Id of the call.
         id: u64,
@@ -36,11 +36,11 @@
     Load(Load),
     /// Status of the sender and its target.
     Status(Status),
-    /// Asks for the other nodes that the receiver knows.
+    /// Requests the other nodes that the receiver is linked with.
     NeighboursWanted,
     /// The other nodes that the sender is linked with.
     Neighbours(Vec<Neighbour>),
-    /// Asks for the configuration.
+    /// Requests the configuration.
     SiteWanted,
     /// The configuration in force at the sender, as encoded by the platform adapter.
     Site {
@@ -53,7 +53,7 @@
     Cleared(Fingerprint),
     /// The suspect requests known to the sender, for a node that has just connected.
     Suspicions(Vec<Suspicion>),
-    /// Asks the owner of a team's quota for tokens.
+    /// Requests tokens from the owner of a team's quota.
     QuotaWanted {
         /// The team.
         team: String,
@@ -81,7 +81,7 @@
 pub struct QuotaGrant {
     /// Number of requests that may run.
     pub tokens: u32,
-    /// How long the owner has no further tokens, in milliseconds.
+    /// Time until the owner has tokens again, in milliseconds; 0 if it still has some.
     pub dry_ms: u32,
     /// How long a refused caller should wait before a retry, in milliseconds.
     pub come_back_ms: u32,
@@ -149,7 +149,7 @@
     pub site_version: u64,
     /// Whether the node can follow the store: it is not shutting down, and the store answers it.
     pub reaches_store: bool,
-    /// Running requests by original route, for the routes seen recently.
+    /// Running requests by root route, for the root routes seen recently.
     pub roots: Vec<RootWork>,
     /// Incarnations that are leaving, have left or were replaced.
     pub left: Vec<Incarnation>,
@@ -174,13 +174,13 @@
             && self.root_names().eq(other.root_names())
     }
 
-    /// The original routes whose requests have reached the target recently.
+    /// The root routes whose requests have reached the target recently.
     fn root_names(&self) -> impl Iterator<Item = &String> {
         self.roots.iter().map(|work| &work.root)
     }
 }
 
-/// Work of a target for requests that originate from one route.
+/// Number of requests of one root route that a target is running.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RootWork {
     /// The route.
@@ -211,13 +211,13 @@
     pub attempt_id: String,
     /// Remaining time until the deadline, in milliseconds.
     pub remaining_ms: u32,
-    /// Route of the caller's original request.
+    /// The root route: that of the caller's request at the root of the call tree.
     pub root: String,
-    /// Priority rank of that route; lower ranks go first.
+    /// Its priority rank; 0 is the most important.
     pub rank: u8,
     /// Whether it is a retry, or is made by one.
     pub is_repeat: bool,
-    /// Team whose API key admitted the original request; empty if no key was used.
+    /// Team whose API key admitted the root request; empty if no key was used.
     pub team: String,
     /// The method.
     pub method: String,
@@ -337,7 +337,8 @@
         self.status >= 500
     }
 
-    /// The name in logs, which tells failures of the target itself from failures of its calls.
+    /// The name in logs, which distinguishes failures of the target itself from failures of its
+    /// calls.
     pub fn reason(&self) -> &'static str {
         match (self.is_failure(), self.has_failed_below) {
             (false, _) => "answered",
@@ -374,7 +375,7 @@
     NoKey,
     /// The team has used up its quota.
     OverQuota,
-    /// The call was made for a request that has ended.
+    /// The parent request has ended.
     Orphaned,
 }
 
@@ -413,7 +414,7 @@
     LinkLost,
     /// The target closed the connection or sent an invalid answer.
     TargetBroke,
-    /// The request that the call was made for ended without an answer.
+    /// The parent request ended without an answer.
     Withdrawn,
 }
 
--- a/src/mesh/gate.rs
+++ b/src/mesh/gate.rs
@@ -15,7 +15,7 @@
 const USABLE_FRACTION: f64 = 0.94;
 /// Waiting time that one rank outweighs. Requests that the entry node has admitted should be
 /// completed: with strict priorities, admitted requests of low rank would wait until they expire,
-/// and the work done for them would be wasted.
+/// and the work already done for them would be wasted.
 const RANK_DELAY: Duration = Duration::from_millis(40);
 /// Maximum queue length, as a multiple of the limit.
 const QUEUE_PER_SLOT: usize = 4;
--- a/src/mesh/http1.rs
+++ b/src/mesh/http1.rs
@@ -47,7 +47,7 @@
 }
 
 impl ExchangeError {
-    /// Whether nobody listens at the address.
+    /// Whether the connection was refused, as no process listens at the address.
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::Connect(cause) if cause.kind() == io::ErrorKind::ConnectionRefused)
     }
--- a/src/mesh/inbound.rs
+++ b/src/mesh/inbound.rs
@@ -1,4 +1,4 @@
-//! The nodes that send calls to this one, and the status and load updates sent to them.
+//! Tracks the links on which other nodes call this one, and sends status and load updates on them.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,10 +19,10 @@
 struct InboundLink {
     link: Rc<Link>,
     /// Whether that node is in the same failure domain.
-    is_near: bool,
+    is_same_domain: bool,
 }
 
-/// The nodes that send calls to this one.
+/// The links on which other nodes send calls to this one.
 #[derive(Debug)]
 pub struct InboundLinks {
     failure_domain: String,
@@ -33,9 +33,9 @@
     /// The last full status sent; its load may be outdated.
     sent_status: RefCell<Status>,
     /// The last load sent to nodes of the same failure domain.
-    local_report: Cell<LoadReport>,
+    same_domain_report: Cell<LoadReport>,
     /// The last load sent to all other nodes.
-    remote_report: Cell<LoadReport>,
+    other_domain_report: Cell<LoadReport>,
 }
 
 impl InboundLinks {
@@ -47,15 +47,15 @@
             links: RefCell::default(),
             status_sent_at: Cell::default(),
             sent_status: RefCell::default(),
-            local_report: Cell::default(),
-            remote_report: Cell::default(),
+            same_domain_report: Cell::default(),
+            other_domain_report: Cell::default(),
         }
     }
 
     /// Adds a link on which a node of `failure_domain` sends calls.
     pub fn add(&self, link: &Rc<Link>, failure_domain: &str) {
-        let is_near = failure_domain == self.failure_domain;
-        self.links.borrow_mut().push(InboundLink { link: Rc::clone(link), is_near });
+        let is_same_domain = failure_domain == self.failure_domain;
+        self.links.borrow_mut().push(InboundLink { link: Rc::clone(link), is_same_domain });
     }
 
     /// Removes a link.
@@ -63,18 +63,18 @@
         self.links.borrow_mut().retain(|inbound| !Rc::ptr_eq(&inbound.link, link));
     }
 
-    /// Sends the full status if it has changed, and otherwise the target's load where an update is
-    /// due. `near` and `all` are the numbers of targets of the service in this failure domain and
-    /// in total.
-    pub fn send_due_updates(&self, status: &Status, near: usize, all: usize) {
+    /// Sends the full status if it has changed, and otherwise the target's load to the groups of
+    /// nodes for which an update is due. `in_domain` and `all` are the numbers of targets of the
+    /// service in this failure domain and in total.
+    pub fn send_due_updates(&self, status: &Status, in_domain: usize, all: usize) {
         if self.is_status_due(status) {
             self.broadcast_status(status);
             return;
         }
         let now = Instant::now();
-        for (is_near, targets) in [(true, near), (false, all)] {
-            if self.report(is_near).get().is_due(status.load, targets, now) {
-                self.send_load(status, is_near);
+        for (is_same_domain, targets) in [(true, in_domain), (false, all)] {
+            if self.report(is_same_domain).get().is_due(status.load, targets, now) {
+                self.send_load(status, is_same_domain);
             }
         }
     }
@@ -94,16 +94,16 @@
         self.status_sent_at.set(Some(Instant::now()));
         self.sent_status.replace(status.clone());
         let frame = Frame::Status(status.clone());
-        for is_near in [true, false] {
-            self.record_report(status, is_near);
-            self.send(&frame, is_near);
+        for is_same_domain in [true, false] {
+            self.record_report(status, is_same_domain);
+            self.send(&frame, is_same_domain);
         }
     }
 
     /// Sends the target's load to the nodes of the same failure domain, or to all others.
-    fn send_load(&self, status: &Status, is_near: bool) {
-        self.record_report(status, is_near);
-        self.send(&self.load_frame(status), is_near);
+    fn send_load(&self, status: &Status, is_same_domain: bool) {
+        self.record_report(status, is_same_domain);
+        self.send(&self.load_frame(status), is_same_domain);
     }
 
     /// The frame that carries the target's load.
@@ -122,22 +122,22 @@
         }
     }
 
-    fn send(&self, frame: &Frame, is_near: bool) {
+    fn send(&self, frame: &Frame, is_same_domain: bool) {
         for inbound in self.links.borrow().iter() {
-            if inbound.is_near == is_near {
+            if inbound.is_same_domain == is_same_domain {
                 inbound.link.send(frame);
             }
         }
     }
 
     /// The last load sent to nodes of the same failure domain, or to all others.
-    fn report(&self, is_near: bool) -> &Cell<LoadReport> {
-        if is_near { &self.local_report } else { &self.remote_report }
+    fn report(&self, is_same_domain: bool) -> &Cell<LoadReport> {
+        if is_same_domain { &self.same_domain_report } else { &self.other_domain_report }
     }
 
-    fn record_report(&self, status: &Status, is_near: bool) {
-        let mut report = self.report(is_near).get();
-        report.note(status.load, Instant::now());
-        self.report(is_near).set(report);
+    fn record_report(&self, status: &Status, is_same_domain: bool) {
+        let mut report = self.report(is_same_domain).get();
+        report.record(status.load, Instant::now());
+        self.report(is_same_domain).set(report);
     }
 }
--- a/src/mesh/ingress.rs
+++ b/src/mesh/ingress.rs
@@ -18,16 +18,16 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use super::ancestry::Origin;
 use super::frame::{Doubt, Header, NotRun, TargetAnswer};
 use super::linger::{LingeringStream, PeerWatch};
 use super::node::{CountGuard, Node};
 use super::overload::Admitted;
 use super::peers::pause_after;
+use super::request_log::{AnswerGuard, EndedRequest, RequestSummary, record_end};
+use super::running_requests::ParentRequest;
 use super::sender::{self, Outcome, Request};
 use super::site::{Route, Site};
 use super::teams::admission::{self, Identity, OverQuota, Unauthenticated};
-use super::trail::{Answering, EndedRequest, Trail, record_end};
 
 /// Fraction of the node's memory that request bodies may take.
 const BODIES_MEMORY_FRACTION: f64 = 0.25;
@@ -97,8 +97,8 @@
     tokio::pin!(connection);
     let caller_left = state.caller.closed();
     tokio::pin!(caller_left);
-    // The runtime assumes that a new socket is readable, and learns of a close only once it has
-    // polled.
+    // The runtime assumes that a new socket is readable, and detects a close only after its first
+    // poll.
     yield_now().await;
     loop {
         let limits = node.site().map(|site| site.limits).unwrap_or_default();
@@ -107,7 +107,7 @@
             idle_until.max(Instant::now() + Duration::from_millis(limits.head_timeout_ms));
         tokio::select! {
             // Polled before the connection, so that no request is started for a caller that has
-            // gone.
+            // disconnected.
             biased;
             // Dropping the connection cancels its request. hyper does not check for the end of the
             // stream while there are unread bytes after a request.
@@ -128,7 +128,7 @@
     connection: &ConnectionState,
     request: http::Request<Incoming>,
 ) -> Response {
-    let _in_flight = sender::count(node);
+    let _in_flight = sender::count_in_flight(node);
     connection.is_busy.set(true);
     let mut response = respond(node, &connection.caller, request).await;
     connection.is_busy.set(false);
@@ -158,20 +158,20 @@
         return empty_response(StatusCode::NOT_FOUND);
     };
     let attempt_id = header_text(&parts.headers, &node.header_names.attempt_id);
-    let parent = node.ancestry.parent(attempt_id);
+    let parent = node.running_requests.parent(attempt_id);
     let root = parent.as_ref().map_or(&route.name, |parent| &parent.root).clone();
-    let answering = Answering::new(node, caller, attempt_id, &root, arrived);
+    let answering = AnswerGuard::new(node, caller, attempt_id, &root, arrived);
     let admitted = match &parent {
         Some(parent) => Ok(AdmittedRequest::inherit(parent)),
         None => admit_caller(node, &site, &route, &parts.headers, attempt_id).await,
     };
     let admitted = match admitted {
         Ok(admitted) => admitted,
-        Err(Rejection { outcome, trail }) => {
+        Err(Rejection { outcome, summary }) => {
             let response = response_to(&outcome);
             let status = response.status().as_u16();
             let ended = EndedRequest { attempt_id, route: &route, root: &root, arrived, status };
-            record_end(node, &ended, &outcome, &trail);
+            record_end(node, &ended, &outcome, &summary);
             return response;
         }
     };
@@ -196,8 +196,8 @@
         is_repeat: parent.as_ref().is_some_and(|parent| parent.is_repeat),
         team: admitted.team,
     };
-    let (outcome, mut trail) = send(node, &route, &request, parent.as_ref()).await;
-    trail.team = Rc::clone(&request.team);
+    let (outcome, mut summary) = send(node, &route, &request, parent.as_ref()).await;
+    summary.team = Rc::clone(&request.team);
     if parent.is_none() && matches!(outcome, Outcome::NotRun { .. }) {
         admission::refund_token(node, &request.team);
     }
@@ -210,7 +210,7 @@
     }
     let status = response.status().as_u16();
     let ended = EndedRequest { attempt_id, route: &route, root: &request.root, arrived, status };
-    record_end(node, &ended, &outcome, &trail);
+    record_end(node, &ended, &outcome, &summary);
     answering.finish();
     response
 }
@@ -220,14 +220,14 @@
     node: &Rc<Node>,
     route: &Route,
     request: &Request,
-    parent: Option<&Origin>,
-) -> (Outcome, Trail) {
+    parent: Option<&ParentRequest>,
+) -> (Outcome, RequestSummary) {
     let sent = sender::send(node, route, request);
     let Some(parent) = parent else { return sent.await };
     tokio::select! {
         biased;
         () = parent.withdrawn.cancelled() => {
-            (Outcome::MayHaveRun(Doubt::Withdrawn), Trail::default())
+            (Outcome::MayHaveRun(Doubt::Withdrawn), RequestSummary::default())
         }
         sent = sent => sent,
     }
@@ -235,7 +235,7 @@
 
 /// An admitted request.
 struct AdmittedRequest {
-    /// Team whose API key admitted the original request; empty if no key was used.
+    /// Team whose API key admitted the root request; empty if no key was used.
     team: Rc<str>,
     /// Its priority rank.
     rank: u8,
@@ -245,7 +245,7 @@
 
 impl AdmittedRequest {
     /// A call of the target, which inherits team and rank from its parent request.
-    fn inherit(parent: &Origin) -> Self {
+    fn inherit(parent: &ParentRequest) -> Self {
         Self { team: Rc::clone(&parent.team), rank: parent.rank, _admitted: None }
     }
 }
@@ -253,19 +253,22 @@
 /// A request that was not admitted.
 struct Rejection {
     outcome: Outcome,
-    trail: Trail,
+    summary: RequestSummary,
 }
 
 impl Rejection {
     fn new(reason: NotRun, retry_after_ms: u64, team: &Rc<str>) -> Self {
         let outcome = Outcome::refused(reason, retry_after_ms);
-        Self { outcome, trail: Trail { team: Rc::clone(team), ..Trail::default() } }
+        Self {
+            outcome,
+            summary: RequestSummary { team: Rc::clone(team), ..RequestSummary::default() },
+        }
     }
 
     fn over_quota(over: OverQuota, team: &Rc<str>) -> Self {
         let retry_after_ms = (over.retry_after.as_millis() as u64).max(RETRY_AFTER_QUOTA_MIN_MS);
         let mut rejection = Self::new(NotRun::OverQuota, retry_after_ms, team);
-        rejection.trail.quota = Some(over.state);
+        rejection.summary.quota = Some(over.state);
         rejection
     }
 }
@@ -282,8 +285,8 @@
     let holder = admission::authenticate(site, route, headers, &node.header_names.api_key);
     let is_orphan = match &holder {
         Ok(Identity::Team(_)) => false,
-        Ok(Identity::Anonymous) => node.ancestry.has_unanswered_parent(attempt_id),
-        Err(Unauthenticated) => node.ancestry.is_orphan(attempt_id),
+        Ok(Identity::Anonymous) => node.running_requests.has_unanswered_parent(attempt_id),
+        Err(Unauthenticated) => node.running_requests.is_orphan(attempt_id),
     };
     if is_orphan {
         return Err(Rejection::new(NotRun::Orphaned, RETRY_AFTER_ORPHANED_MS, &no_team));
@@ -309,8 +312,9 @@
     Ok(AdmittedRequest { team: Rc::clone(team), rank, _admitted: admitted })
 }
 
-/// `Retry-After` for a shed request, in milliseconds: short enough for an answer within the
-/// objective, and randomized so that callers refused together don't return together.
+/// `Retry-After` for a shed request, in milliseconds: short enough for the retry to be answered
+/// within the objective, and randomized to spread out the retries of callers that were refused at
+/// the same time.
 fn shed_retry_after_ms(node: &Node, route: &Route) -> u64 {
     let objective_ms = route.objective_ms.max(RETRY_AFTER_OBJECTIVE_MIN_MS);
     let share = node.rng.borrow_mut().random_range(RETRY_AFTER_FRACTIONS);
@@ -420,7 +424,7 @@
     *name == CONTENT_LENGTH || *name == EXPECT || NAMES.contains(&name.as_str())
 }
 
-/// The headers listed as hop-by-hop in `ConnectionState`.
+/// The headers listed as hop-by-hop in the `Connection` header.
 fn headers_listed_in_connection(headers: &HeaderMap) -> Vec<HeaderName> {
     let mut names = Vec::new();
     for value in headers.get_all(CONNECTION) {
--- a/src/mesh/launch.rs
+++ b/src/mesh/launch.rs
@@ -95,8 +95,8 @@
     response
 }
 
-/// Waits for SIGTERM, then drains the node. Calls `on_reload` on SIGHUP, which tells that the
-/// settings file has changed.
+/// Waits for SIGTERM, then drains the node. Calls `on_reload` on SIGHUP, by which the platform
+/// signals a change of the settings file.
 pub async fn run_until_stopped(node: &Rc<Node>, on_reload: impl Fn()) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut reload = signal(SignalKind::hangup())?;
--- a/src/mesh/levels.rs
+++ b/src/mesh/levels.rs
@@ -32,7 +32,7 @@
 /// Change in the probability that reserves this share, for each adjustment.
 const RESERVED_STEP: f64 = 0.05;
 
-/// State of one original route.
+/// State of one root route.
 #[derive(Clone, Debug)]
 struct RootLevel {
     /// Lowest level of the services that its requests reach.
--- a/src/mesh/linger.rs
+++ b/src/mesh/linger.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that closes gracefully and can detect that its peer has gone.
+//! A TCP stream that closes gracefully and can detect that its peer has disconnected.
 
 use std::future::pending;
 use std::io;
@@ -42,7 +42,7 @@
     }
 }
 
-/// Detects that the peer of a stream has gone, even while there are unread bytes.
+/// Detects that the peer of a stream has disconnected, even while there are unread bytes.
 #[derive(Clone, Debug)]
 pub struct PeerWatch(Rc<OwnedWriteHalf>);
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether the runtime has been told that the peer has closed or reset the connection.
+    /// Whether the runtime has detected that the peer has closed or reset the connection.
     pub fn has_closed(&self) -> bool {
         pin!(self.closed()).poll(&mut Context::from_waker(Waker::noop())).is_ready()
     }
--- a/src/mesh/metrics.rs
+++ b/src/mesh/metrics.rs
@@ -170,8 +170,8 @@
 /// 1 for a node that follows the store, 0 for one that learns of changes from its peers.
 fn follows_store(node: &Node) -> f64 {
     match node.store_watch.role() {
-        Role::Follows | Role::Substitutes => 1.0,
-        Role::Hears => 0.0,
+        Role::Follower | Role::Substitute => 1.0,
+        Role::Informed => 0.0,
     }
 }
 
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -1,15 +1,16 @@
-//! The call path of a node: from callers to a target, beside this node or beside a peer, and back.
+//! The call path of a node: forwards requests of callers to the local target or to that of a peer,
+//! and returns the answers.
 //!
-//! All tasks run in one thread: on a VM with less than half a core, handing work to another thread
+//! All tasks run in one thread: on a VM with less than half a core, passing work to another thread
 //! costs more than a whole routing decision. docs/DESIGN-platform.md has the figures.
 
-pub mod ancestry;
 pub mod budget;
 pub mod codec;
 pub mod crash;
 pub mod crash_reports;
 pub mod directory;
-pub mod failing;
+
+pub mod failure_share;
 pub mod fingerprint;
 pub mod follower;
 pub mod frame;
@@ -31,6 +32,8 @@
 pub mod quarantine;
 pub mod receiver;
 pub mod report;
+pub mod request_log;
+pub mod running_requests;
 pub mod sender;
 pub mod settings;
 pub mod site;
@@ -38,6 +41,5 @@
 pub mod split;
 pub mod target;
 pub mod teams;
-pub mod trail;
 pub mod window;
 pub mod words;
--- a/src/mesh/node.rs
+++ b/src/mesh/node.rs
@@ -13,7 +13,6 @@
 
 use crate::event::{EventLog, LogEvent};
 
-use super::ancestry::Ancestry;
 use super::budget::RetryBudgets;
 use super::directory::Directory;
 use super::follower::StoreWatch;
@@ -25,6 +24,7 @@
 use super::metrics::MeshMetrics;
 use super::overload::{Overload, ServiceView};
 use super::quarantine::Quarantine;
+use super::running_requests::RunningRequests;
 use super::settings::MeshSettings;
 use super::site::Site;
 use super::split::Splitter;
@@ -32,20 +32,21 @@
 use super::teams::admission;
 use super::teams::quota::Quotas;
 
-/// How long a root route is reported after its last request reached the target.
+/// How long a root route is reported to peers after its last request has reached the target.
 const ROOT_TTL: Duration = Duration::from_secs(20);
-/// A configuration that was requested and has not arrived after this time is requested again.
+/// Time after which a requested configuration that has not arrived is requested again.
 const SITE_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
-/// How many peers are asked for the nodes they know, where the node cannot read the list in the
-/// store.
+/// Maximum number of peers asked for their linked nodes until the list of nodes has been read from
+/// the store.
 const NEIGHBOUR_REQUESTS_MAX: u32 = 3;
-/// The part of the stop grace during which a stopping node still accepts calls for its target. The
-/// longest runs take half of the grace, so those accepted last still finish within it.
+/// Fraction of the stop grace period during which a stopping node still accepts calls for its
+/// target. The longest runs take half of the grace period, so the last ones accepted finish within
+/// it.
 const STOP_ACCEPT_SHARE: f64 = 1.0 / 3.0;
-/// The share of failures is rounded down to this step before peers are told: it decays all the
-/// time, and less than a tenth of failures makes no difference.
+/// Step to which the failure share is rounded down in the status sent to peers. The exact share
+/// decays continuously and would change every status; shares below a tenth have no effect.
 const FAILING_STEP_PERCENT: u8 = 5;
-/// How often the log is brought up to date on which routes are being shed.
+/// Interval at which changes of the set of routes being shed are logged.
 const ADMISSION_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Parses a configuration document in the format of the platform adapter.
@@ -68,23 +69,24 @@
     pub header_names: HeaderNames,
     /// The peers.
     pub directory: Directory,
-    /// The target beside the node.
+    /// The local target.
     pub target: Target,
     /// Admission of callers' requests.
     pub overload: Overload,
     /// The requests that the target is running.
-    pub ancestry: Ancestry,
+    pub running_requests: RunningRequests,
     /// The quotas of teams.
     pub quotas: Quotas,
-    /// Requests that were running on targets that crashed.
+    /// Requests that were running when targets crashed.
     pub quarantine: Quarantine,
-    /// The root routes of requests that reached the target, and when each last did.
+    /// The root routes of requests that have reached the target, with the time of the last request.
     recent_roots: RefCell<HashMap<String, Instant>>,
-    /// The version at which a newer configuration was last requested, and when.
+    /// The version that was active when a newer one was last requested, and the time of that
+    /// request.
     last_site_request: Cell<Option<(u64, Instant)>>,
-    /// How many peers were asked for the nodes they know.
+    /// Number of peers that were asked for their linked nodes.
     neighbour_requests: Cell<u32>,
-    /// When the log was last brought up to date on which routes are being shed.
+    /// When the routes being shed were last compared with those logged.
     admission_logged: Cell<Option<Instant>>,
     /// The routes last logged as being shed.
     shed_routes: RefCell<HashSet<Rc<str>>>,
@@ -104,8 +106,8 @@
     pub log: EventLog,
     /// The metrics.
     pub metrics: MeshMetrics,
-    /// Whether the node has had time to link to its peers, or has given up on reading the list of
-    /// nodes; it is not ready before.
+    /// Whether the node has had time to connect to its peers, or no longer waits for the list of
+    /// nodes in the store. It is not ready before that.
     pub has_joined: Cell<bool>,
     /// Whether the list of all nodes has been read from the store.
     pub has_read_nodes: Cell<bool>,
@@ -113,9 +115,9 @@
     pub store_watch: StoreWatch,
     active_site: RefCell<Option<ActiveSite>>,
     read_site: ReadSite,
-    /// When the node was told to stop.
+    /// When the node began to stop.
     stopping_since: Cell<Option<Instant>>,
-    /// The links on which peers call this node, and what each was last told.
+    /// The links on which peers call this node, with the status and load last sent on them.
     pub inbound: InboundLinks,
     /// The links that this node has dialled.
     dialled: RefCell<Vec<Rc<Link>>>,
@@ -133,7 +135,7 @@
             directory: Directory::new(settings.listen.peers, &settings.node.failure_domain),
             target: Target::new(settings.target.address),
             overload: Overload::new(settings.overload.policy),
-            ancestry: Ancestry::default(),
+            running_requests: RunningRequests::default(),
             quotas: Quotas::new(
                 settings.listen.peers,
                 settings.teams.quota,
@@ -198,12 +200,13 @@
         Ok(true)
     }
 
-    /// Applies a heartbeat of the target beside the node.
+    /// Applies a heartbeat of the local target.
     ///
     /// # Errors
     ///
-    /// A heartbeat that names a service unknown to the configuration, or no slots, comes from a
-    /// foreign target or is a mistake. It is rejected and leaves the state of the target unchanged.
+    /// The heartbeat names a service that is not in the configuration, or 0 slots. It is rejected,
+    /// as it comes from a foreign or misconfigured target, and the state of the target is
+    /// unchanged.
     pub fn apply_heartbeat(&self, heartbeat: &Heartbeat) -> eyre::Result<()> {
         if heartbeat.slots == 0 {
             bail!("the heartbeat states 0 slots");
@@ -222,44 +225,45 @@
         !self.is_stopping() && self.has_joined.get() && self.site_version() > 0
     }
 
-    /// Whether the node was told to stop.
+    /// Whether the node is stopping.
     pub fn is_stopping(&self) -> bool {
         self.stopping_since.get().is_some()
     }
 
-    /// Whether the node still accepts calls for the target beside it.
+    /// Whether the node still accepts calls for the local target.
     ///
-    /// A node that was told to stop keeps serving its target for a part of the grace: the target is
-    /// still up, and cannot be reached while its node restarts. Calls accepted until then finish
-    /// within the rest of the grace.
-    pub fn takes_calls(&self) -> bool {
+    /// A stopping node keeps serving its target for a part of the grace period: the target is still
+    /// running, and cannot be reached while its node restarts. Calls accepted until then finish
+    /// within the rest of the grace period.
+    pub fn accepts_calls(&self) -> bool {
         let grace = Duration::from_millis(self.settings.timing.stop_grace_ms);
         let until = grace.mul_f64(STOP_ACCEPT_SHARE);
         self.stopping_since.get().is_none_or(|since| since.elapsed() < until)
     }
 
-    /// Whether a request that arrived now would most likely be cut off by the end of the process.
+    /// Whether a request that arrives now would most likely be cut off by the end of the process.
     ///
-    /// Requests are accepted until then, as callers are told that the node is stopping but may have
-    /// nowhere else to go.
+    /// Requests are accepted until then: the node reports that it is not ready, but callers may
+    /// have no other node to use.
     pub fn is_closing(&self) -> bool {
         let grace = Duration::from_millis(self.settings.timing.stop_grace_ms);
         self.stopping_since.get().is_some_and(|since| since.elapsed() > grace / 2)
     }
 
-    /// Begins to stop. `is_ready`, `takes_calls` and `is_closing` tell what is still accepted.
+    /// Begins to stop. From then on, `is_ready`, `accepts_calls` and `is_closing` determine which
+    /// requests are still accepted.
     pub fn stop(&self) {
         self.stopping_since.set(Some(Instant::now()));
         self.broadcast_status();
     }
 
-    /// The service of the target beside the node.
+    /// The service of the local target.
     pub fn own_service(&self) -> String {
         let current = self.target.current();
         current.map_or_else(|| self.settings.node.service.clone(), |known| known.service.clone())
     }
 
-    /// Logs that the state of the target has changed, and tells the peers.
+    /// Logs that the state of the target has changed, and sends the new status to the peers.
     pub fn target_changed(&self, learned_from: &'static str) {
         let current = self.target.current();
         let state = match &current {
@@ -286,7 +290,7 @@
                 .as_ref()
                 .map(|known| known.incarnation.clone())
                 .unwrap_or_default(),
-            ready: current.is_some() && self.takes_calls(),
+            ready: current.is_some() && self.accepts_calls(),
             stopping: self.is_stopping(),
             cold: current.is_some_and(|known| known.is_cold),
             site_version: self.site_version(),
@@ -305,12 +309,12 @@
         steps * FAILING_STEP_PERCENT
     }
 
-    /// How many requests of each root route the target is running.
+    /// Number of requests of each root route that the target is running.
     fn root_work(&self) -> Vec<RootWork> {
         let roots = self.recent_roots.borrow();
         let of_root = |root: &String| RootWork {
             root: root.clone(),
-            running: self.ancestry.running_of(root) as u32,
+            running: self.running_requests.running_of(root) as u32,
         };
         let mut work: Vec<RootWork> = roots.keys().map(of_root).collect();
         work.sort_unstable_by(|one, other| one.root.cmp(&other.root));
@@ -363,8 +367,8 @@
         }
     }
 
-    /// Requests the configuration, unless a request is pending. A new version is announced on all
-    /// links at once; one copy is enough.
+    /// Requests the configuration, unless a request is pending. All peers announce a new version at
+    /// about the same time, but one copy is enough.
     fn request_site(&self, link: &Link) {
         let version = self.site_version();
         let is_pending = self
@@ -378,7 +382,7 @@
         link.send(&Frame::SiteWanted);
     }
 
-    /// Whether a peer is to be asked for the nodes it knows. Counts the request if so.
+    /// Whether another peer may be asked for its linked nodes. Counts the request if so.
     pub fn try_neighbour_request(&self) -> bool {
         let asked = self.neighbour_requests.get();
         if self.has_read_nodes.get() || asked >= NEIGHBOUR_REQUESTS_MAX {
@@ -388,9 +392,9 @@
         true
     }
 
-    /// Updates this node's role: whether it follows the store for itself and its peers.
+    /// Updates this node's role in following the store.
     fn update_store_role(&self) {
-        let (with_store, all) = self.directory.local_predecessors();
+        let (with_store, all) = self.directory.predecessors_in_domain();
         if self.store_watch.update_role(with_store, all) {
             let role = self.store_watch.role().name();
             let is_first = self.store_watch.is_first();
@@ -398,7 +402,7 @@
         }
     }
 
-    /// Logs which routes have begun or ceased to be shed for lack of capacity.
+    /// Logs the routes that have begun or ceased to be shed.
     fn log_admission(&self, site: &Site, services: &HashMap<String, ServiceView>) {
         let mut refused = self.shed_routes.borrow_mut();
         for route in site.routes() {
@@ -427,7 +431,8 @@
 
     /// The first frame on a new link.
     ///
-    /// `left_incarnations` are the incarnations of the peer's target that are known to have left.
+    /// `left_incarnations` are the incarnations of the peer's target that the peer had reported as
+    /// gone.
     pub fn hello(&self, left_incarnations: Vec<Incarnation>) -> Hello {
         Hello {
             address: self.settings.listen.peers,
--- a/src/mesh/overload.rs
+++ b/src/mesh/overload.rs
@@ -1,10 +1,10 @@
-//! Admission control: sheds requests at the entry for services that are overloaded further down.
+//! Admission control: entry nodes shed requests that would reach an overloaded service.
 //!
 //! A request that fails at its seventh inner call has wasted all the work before it, so shedding is
-//! cheap only before the first run. Every node knows the load of all targets, and the root routes
-//! of the requests that reach them, so each entry can tell which of its routes lead to an
-//! overloaded service. It sheds the least important of these first. A request that was admitted is
-//! not shed later.
+//! cheap only before the first run. Every node knows the load of all targets and the root routes of
+//! the requests that reach them. From these, each entry node determines which of its routes lead to
+//! an overloaded service, and sheds the least important of them first. An admitted request is not
+//! shed later.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -19,31 +19,34 @@
 use super::site::Route;
 use super::window::Window;
 
-/// How often admission is adjusted.
+/// Interval at which admission is adjusted.
 pub const ADJUST_INTERVAL: Duration = Duration::from_millis(100);
-/// How many requests an entry may have in flight for each slot in its fair share of a service,
-/// before it has measurements. More than one, as a request spends only a part of its time at each
+/// Requests that an entry node may have in flight for each slot in its fair share of a service,
+/// before it has measurements. More than one, as a request spends only part of its time at each
 /// service.
 const FAIR_SHARE_FACTOR: f64 = 2.0;
 
-/// What a node knows of one service.
+/// The load of one service as known to a node.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceView {
     /// The load of its targets, summed.
     pub load: Load,
-    /// The root routes of the requests that reach its targets, and how many of each are running.
+    /// The root routes of the requests that reach its targets, with the number of running requests
+    /// of each.
     pub roots: HashMap<String, u32>,
 }
 
-/// How admission is decided.
+/// The admission policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
-    /// Everything is admitted; targets refuse what does not fit into their queues.
+    /// All requests are admitted; nodes refuse calls that do not fit into the queue of their
+    /// target.
     Open,
-    /// Each request is admitted with a probability that follows the load of the targets.
+    /// Each request is admitted with a probability that depends on the load of the targets.
     Levels,
-    /// The number of requests in flight is bounded, by a bound learnt from the load of the targets.
+    /// The number of requests in flight is limited by a bound that is learned from the load of the
+    /// targets.
     #[default]
     Windows,
 }
@@ -58,11 +61,11 @@
     }
 }
 
-/// The state of admission at one entry.
+/// The admission control of one entry node.
 #[derive(Debug, Default)]
 pub struct Overload {
     policy: Policy,
-    /// Requests in flight per route that were admitted here.
+    /// Number of admitted requests in flight, by route.
     in_flight: RefCell<HashMap<Rc<str>, Rc<Cell<u32>>>>,
     /// The bound on requests in flight that reach each service.
     windows: RefCell<HashMap<String, Window>>,
@@ -76,8 +79,8 @@
         Self { policy, ..Self::default() }
     }
 
-    /// Admits or refuses a request of a caller on `route`. `rank` is the rank of the request, which
-    /// depends on its team and its route.
+    /// Admits a request of a caller on `route`; `None` if it is shed. `rank` is the rank of the
+    /// request, which depends on its team and its route.
     pub fn admit(&self, route: &Route, rank: u8, rng: &mut impl Rng) -> Option<Admitted> {
         let probability = self.admission_probability_at(route, rank);
         let is_admitted =
@@ -96,7 +99,7 @@
     }
 
     /// Adjusts admission to the load of the services. `rank_max` is the least important rank,
-    /// `entries` the number of nodes that accept requests of callers.
+    /// `entries` the number of entry nodes.
     pub fn adjust(&self, services: &HashMap<String, ServiceView>, rank_max: u8, entries: usize) {
         let top = f64::from(rank_max) + 1.0;
         match self.policy {
@@ -111,7 +114,7 @@
         self.admission_probability_at(route, route.rank)
     }
 
-    /// The same for a request whose rank may differ from that of its route.
+    /// Like `admission_probability`, for a request whose rank may differ from that of its route.
     pub fn admission_probability_at(&self, route: &Route, rank: u8) -> f64 {
         match self.policy {
             Policy::Open => 1.0,
@@ -122,7 +125,7 @@
         }
     }
 
-    /// The service whose lack of capacity makes requests of `route` be shed, if any.
+    /// The service because of which requests of `route` are shed, if any.
     pub fn limited_by(&self, route: &Route) -> Option<String> {
         match self.policy {
             Policy::Open => None,
--- a/src/mesh/peers.rs
+++ b/src/mesh/peers.rs
@@ -1,4 +1,5 @@
-//! Links to peers: dialling, accepting, handling frames, and replacing links that went silent.
+//! Links to peers: dials and accepts them, handles their frames, and replaces those that no longer
+//! respond.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,19 +22,19 @@
 use super::socket;
 use super::teams::admission;
 
-/// How often all links are checked.
+/// Interval at which all links are checked.
 const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 /// A link with pending calls is pinged after this much silence.
 const PING_PENDING_AFTER: Duration = Duration::from_millis(250);
-/// An idle link is pinged after this much silence. No call depends on it, and TCP keepalive notices
-/// a dead connection; the ping finds only a process that is hung or suspended.
+/// An idle link is pinged after this much silence. No call depends on it, and TCP keepalive detects
+/// a dead connection; the ping is needed only to detect a process that is hung or suspended.
 const PING_IDLE_AFTER: Duration = Duration::from_secs(5);
-/// A link that leaves a ping unanswered for this long is replaced. Must exceed the pauses of a busy
+/// A link whose ping is unanswered for this long is replaced. Must exceed the pauses of a busy
 /// node.
 const PING_TIMEOUT: Duration = Duration::from_secs(2);
-/// The initial back-off before a peer is dialled again.
+/// The initial backoff before a peer is dialled again.
 const REDIAL_BACKOFF_MIN: Duration = Duration::from_millis(50);
-/// The longest back-off before a peer is dialled again.
+/// The longest backoff before a peer is dialled again.
 const REDIAL_BACKOFF_MAX: Duration = Duration::from_secs(2);
 /// A peer that could not be reached for this long is removed. If it comes back, it dials this node.
 const FORGET_AFTER: Duration = Duration::from_secs(120);
@@ -50,9 +51,9 @@
     let mut backoff = REDIAL_BACKOFF_MIN;
     let mut last_linked = Instant::now();
     while last_linked.elapsed() < FORGET_AFTER {
-        // A SYN to a VM that is down is lost and sent again only after a second. Where all VMs come
-        // back at once, that delayed the links of a node to all those that started after it. A peer
-        // that says hello can be reached, so it is dialled again at once.
+        // A SYN to a VM that is down is lost and sent again only after a second. When all VMs
+        // restart at once, this would delay the links of a node to all nodes that start after it. A
+        // peer that has sent a hello can be reached, so it is dialled again at once.
         let connected = tokio::select! {
             connected = socket::connect(peer.address) => connected,
             () = peer.hello_received.notified() => continue,
@@ -145,7 +146,7 @@
     peer.status.borrow_mut().ready = false;
 }
 
-/// Pings links that are silent, and closes those that do not answer.
+/// Pings silent links, and closes those that do not answer.
 pub async fn watch_links(node: Rc<Node>) {
     loop {
         sleep(WATCH_INTERVAL).await;
@@ -177,7 +178,7 @@
     }
 }
 
-/// Pauses after a connection could not be accepted, so that the accept loop does not spin.
+/// Pauses after a failure to accept a connection, so that the accept loop does not spin.
 pub async fn pause_after(log: &EventLog, error: &io::Error) {
     log.emit(&LogEvent::InputRefused { input: "connection", detail: error.to_string() });
     sleep(REDIAL_BACKOFF_MIN).await;
--- a/src/mesh/quarantine.rs
+++ b/src/mesh/quarantine.rs
@@ -1,10 +1,9 @@
-//! Quarantine of requests that crash the targets that run them.
+//! Quarantines requests that crash the targets that run them.
 //!
 //! When a target crashes, any of the requests it was running may be the cause. A request that
-//! succeeds is cleared, whatever it ran beside. One that was running in two crashes without a
-//! success in between becomes a suspect, and runs with no other suspect on the same target. If that
-//! target crashes too, the suspect is the most likely cause, and the request is held back on all
-//! nodes.
+//! succeeds is cleared. One that was running in two crashes without a success in between becomes a
+//! suspect, and at most one suspect runs on a target at a time. If that target crashes too, the
+//! suspect is the most likely cause and is quarantined on all nodes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,89 +15,89 @@
 use super::fingerprint::Fingerprint;
 use super::frame::{Crash, Suspicion};
 
-/// A request becomes a suspect after this many crashes. One crash says little, as every request on
-/// the target was running in it, and suspects run one at a time on a target and so have to wait for
-/// each other.
+/// A request becomes a suspect after this many crashes. One crash is weak evidence, as it involves
+/// every request that was running on the target, and suspects are delayed because they run one at a
+/// time on a target.
 const SUSPECT_CRASHES: u32 = 2;
-/// How long a request is held back the first time, before it may be tried on one target.
-const HOLD_INITIAL: Duration = Duration::from_secs(60);
-/// The factor by which the hold grows each time the trial crashes a target.
-const HOLD_GROWTH: u32 = 10;
-/// The longest hold.
-const HOLD_MAX: Duration = Duration::from_secs(24 * 60 * 60);
-/// A record is dropped when no target has crashed with the request running for this long.
+/// Duration of the first quarantine of a request, after which it is tried on one target.
+const QUARANTINE_INITIAL: Duration = Duration::from_secs(60);
+/// Factor by which the duration grows each time the trial crashes a target.
+const QUARANTINE_GROWTH: u32 = 10;
+/// Maximum duration.
+const QUARANTINE_MAX: Duration = Duration::from_secs(24 * 60 * 60);
+/// Time without another crash after which the record of a request is dropped.
 const RECORD_TTL: Duration = Duration::from_secs(600);
-/// The most requests on record. The least suspicious are dropped first.
+/// Maximum number of records. Those of the least suspicious requests are dropped first.
 const RECORDS_MAX: usize = 4_096;
 
-/// What is known of a request.
+/// The crash record of a request.
 #[derive(Clone, Copy, Debug)]
 struct Record {
-    /// How many targets have crashed with it running since it last succeeded.
+    /// Number of targets that crashed while running it since it last succeeded.
     crashes: u32,
-    /// How often it was held back.
-    holds: u32,
-    /// When the current hold ends.
-    held_until: Instant,
-    /// When a target last crashed with it running.
+    /// How often it was quarantined.
+    quarantine_count: u32,
+    /// When its quarantine ends; in the past if it is not quarantined.
+    quarantined_until: Instant,
+    /// When a target last crashed while running it.
     last_crash: Instant,
 }
 
 impl Record {
     fn new(now: Instant) -> Self {
-        Self { crashes: 0, holds: 0, held_until: now, last_crash: now }
+        Self { crashes: 0, quarantine_count: 0, quarantined_until: now, last_crash: now }
     }
 
-    fn hold(&mut self, holds: u32, now: Instant) {
-        self.holds = holds;
+    fn quarantine(&mut self, count: u32, now: Instant) {
+        self.quarantine_count = count;
         self.crashes = self.crashes.max(SUSPECT_CRASHES + 1);
-        self.held_until = now + hold_duration(holds);
+        self.quarantined_until = now + quarantine_duration(count);
         self.last_crash = now;
     }
 
     /// Whether the record is still relevant.
     fn is_relevant(&self, now: Instant) -> bool {
-        now < self.held_until.max(self.last_crash) + RECORD_TTL
+        now < self.quarantined_until.max(self.last_crash) + RECORD_TTL
     }
 }
 
-/// The duration of the hold number `holds`, the first being 1.
-fn hold_duration(holds: u32) -> Duration {
-    let growth = HOLD_GROWTH.saturating_pow(holds.saturating_sub(1));
-    HOLD_INITIAL.saturating_mul(growth).min(HOLD_MAX)
+/// The duration of quarantine number `count`, counted from 1.
+fn quarantine_duration(count: u32) -> Duration {
+    let growth = QUARANTINE_GROWTH.saturating_pow(count.saturating_sub(1));
+    QUARANTINE_INITIAL.saturating_mul(growth).min(QUARANTINE_MAX)
 }
 
-/// How a request may run.
+/// Whether a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
     /// Without restriction.
-    Free,
+    Unrestricted,
     /// Only on a target that runs no other suspect.
     Suspect,
-    /// Not at all, for at least this time.
-    Held(Duration),
+    /// Not for at least this time.
+    Quarantined(Duration),
 }
 
 /// The record of a request that was cleared by a success.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cleared {
-    /// Whether it was a suspect, which other nodes have been told.
+    /// Whether it was a suspect, and is known as one to other nodes.
     pub was_suspect: bool,
-    /// Whether it had been held back.
-    pub was_held: bool,
+    /// Whether it had been quarantined.
+    pub was_quarantined: bool,
 }
 
-/// The requests that were running on targets that crashed.
+/// The requests that were running when targets crashed, and their quarantine.
 #[derive(Debug)]
 pub struct Quarantine {
     records: RefCell<HashMap<Fingerprint, Record>>,
-    /// The permit to run a suspect on the target beside this node.
+    /// Grants the permit to run a suspect on the local target.
     isolation: Semaphore,
-    /// Requests whose hold began or ended here and is still to be written to the store.
+    /// Requests whose quarantine began or ended on this node and is not yet saved in the store.
     unsaved: RefCell<Vec<Fingerprint>>,
-    /// Wakes the task that writes holds to the store.
-    pub to_save: Notify,
-    /// How many crashes of targets were seen.
+    /// Wakes the task that saves changes in the store.
+    pub save_requested: Notify,
+    /// Number of crashes of targets known to this node.
     crashes_seen: Cell<u64>,
 }
 
@@ -108,7 +107,7 @@
             records: RefCell::default(),
             isolation: Semaphore::new(1),
             unsaved: RefCell::default(),
-            to_save: Notify::new(),
+            save_requested: Notify::new(),
             crashes_seen: Cell::default(),
         }
     }
@@ -120,51 +119,52 @@
         self.records.borrow().is_empty()
     }
 
-    /// How a request may run now.
+    /// Whether a request may run now.
     pub fn standing(&self, fingerprint: Fingerprint) -> Standing {
         let records = self.records.borrow();
-        let Some(record) = records.get(&fingerprint) else { return Standing::Free };
+        let Some(record) = records.get(&fingerprint) else { return Standing::Unrestricted };
         let now = Instant::now();
-        if now < record.held_until {
-            return Standing::Held(record.held_until - now);
+        if now < record.quarantined_until {
+            return Standing::Quarantined(record.quarantined_until - now);
         }
         if record.crashes >= SUSPECT_CRASHES && record.is_relevant(now) {
             return Standing::Suspect;
         }
-        Standing::Free
+        Standing::Unrestricted
     }
 
-    /// Whether a target crashed with the request running and the request has not succeeded since.
+    /// Whether a target has crashed while running the request, and the request has not succeeded
+    /// since.
     pub fn has_crashed(&self, fingerprint: Fingerprint) -> bool {
         let records = self.records.borrow();
         records.get(&fingerprint).is_some_and(|record| record.is_relevant(Instant::now()))
     }
 
-    /// Whether a request is held back.
-    pub fn is_held(&self, fingerprint: Fingerprint) -> bool {
-        matches!(self.standing(fingerprint), Standing::Held(_))
+    /// Whether a request is quarantined.
+    pub fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
+        matches!(self.standing(fingerprint), Standing::Quarantined(_))
     }
 
-    /// Waits until a request may run on the target beside this node. A suspect gets a permit, and
-    /// no other suspect runs until that is dropped. None where the request is held back.
+    /// Waits until a request may run on the local target. A suspect gets a permit, and no other
+    /// suspect runs until that is dropped. `None` if the request is quarantined.
     pub async fn admit(&self, fingerprint: Fingerprint) -> Option<Option<SemaphorePermit<'_>>> {
         match self.standing(fingerprint) {
-            Standing::Free => return Some(None),
-            Standing::Held(_) => return None,
+            Standing::Unrestricted => return Some(None),
+            Standing::Quarantined(_) => return None,
             Standing::Suspect => {}
         }
         let permit = self.isolation.acquire().await.ok();
-        // ~The standing may have changed on other nodes during the wait.
+        // The standing may have changed during the wait, by reports of other nodes.
         match self.standing(fingerprint) {
-            Standing::Free => Some(None),
+            Standing::Unrestricted => Some(None),
             Standing::Suspect => Some(permit),
-            Standing::Held(_) => None,
+            Standing::Quarantined(_) => None,
         }
     }
 
-    /// Records that the target beside this node crashed while it ran `requests`. Returns what the
-    /// other nodes are to be told.
-    pub fn note_crash(&self, mut requests: Vec<Fingerprint>) -> Crash {
+    /// Records that the local target crashed while it ran `requests`. Returns the report for the
+    /// other nodes.
+    pub fn record_crash(&self, mut requests: Vec<Fingerprint>) -> Crash {
         requests.sort_unstable();
         requests.dedup();
         let is_suspect = |request: &&Fingerprint| self.standing(**request) == Standing::Suspect;
@@ -172,13 +172,13 @@
         let likely_cause = suspects.next().copied().filter(|_| suspects.next().is_none());
         let crash = Crash { requests, held: likely_cause };
         self.apply_crash(&crash);
-        if let Some(held) = likely_cause {
-            self.save(held);
+        if let Some(cause) = likely_cause {
+            self.save(cause);
         }
         crash
     }
 
-    /// Applies a crash of a target beside this node or a peer.
+    /// Applies a crash of the local target or that of another node.
     pub fn apply_crash(&self, crash: &Crash) {
         let now = Instant::now();
         self.crashes_seen.set(self.crashes_seen.get() + 1);
@@ -190,13 +190,13 @@
             record.last_crash = now;
         }
         if let Some(record) = crash.held.and_then(|held| records.get_mut(&held)) {
-            record.hold(record.holds + 1, now);
+            record.quarantine(record.quarantine_count + 1, now);
         }
         if records.len() > RECORDS_MAX {
             records.retain(|_, record| record.crashes >= SUSPECT_CRASHES);
         }
         if records.len() > RECORDS_MAX {
-            records.retain(|_, record| record.holds > 0);
+            records.retain(|_, record| record.quarantine_count > 0);
         }
     }
 
@@ -205,23 +205,26 @@
         let Some(record) = self.records.borrow_mut().remove(&fingerprint) else {
             return Cleared::default();
         };
-        Cleared { was_suspect: record.crashes >= SUSPECT_CRASHES, was_held: record.holds > 0 }
+        Cleared {
+            was_suspect: record.crashes >= SUSPECT_CRASHES,
+            was_quarantined: record.quarantine_count > 0,
+        }
     }
 
-    /// What a new peer is told: the suspects and the requests held back.
+    /// The suspects and the quarantined requests, for a new peer.
     pub fn suspicions(&self) -> Vec<Suspicion> {
         let records = self.records.borrow();
-        let worth_telling = records.iter().filter(|(_, record)| record.crashes >= SUSPECT_CRASHES);
-        let tell = |(fingerprint, record): (&Fingerprint, &Record)| Suspicion {
+        let suspects = records.iter().filter(|(_, record)| record.crashes >= SUSPECT_CRASHES);
+        let to_suspicion = |(fingerprint, record): (&Fingerprint, &Record)| Suspicion {
             fingerprint: *fingerprint,
             crashes: record.crashes,
-            holds: record.holds,
+            holds: record.quarantine_count,
         };
-        worth_telling.map(tell).collect()
+        suspects.map(to_suspicion).collect()
     }
 
-    /// Applies a suspicion of a peer or one read from the store. Returns whether it put a new hold
-    /// on the request.
+    /// Applies a suspicion of a peer or one read from the store. Returns whether the request was
+    /// quarantined because of it.
     pub fn apply_suspicion(&self, suspicion: &Suspicion) -> bool {
         let now = Instant::now();
         let mut records = self.records.borrow_mut();
@@ -230,43 +233,43 @@
         }
         let record = records.entry(suspicion.fingerprint).or_insert_with(|| Record::new(now));
         record.crashes = record.crashes.max(suspicion.crashes);
-        let is_new_hold = suspicion.holds > record.holds;
-        if is_new_hold {
-            record.hold(suspicion.holds, now);
+        let is_newer = suspicion.holds > record.quarantine_count;
+        if is_newer {
+            record.quarantine(suspicion.holds, now);
         }
-        is_new_hold
+        is_newer
     }
 
-    /// Queues the hold of a request, or the end of it, to be written to the store.
+    /// Queues the quarantine of a request, or its end, to be saved in the store.
     pub fn save(&self, fingerprint: Fingerprint) {
         self.unsaved.borrow_mut().push(fingerprint);
-        self.to_save.notify_one();
+        self.save_requested.notify_one();
     }
 
-    /// The next request whose hold is to be written to the store, and how often it was held back; 0
-    /// where it was cleared.
+    /// The next request to be saved in the store, and how often it was quarantined; 0 if it was
+    /// cleared.
     pub fn next_unsaved(&self) -> Option<(Fingerprint, u32)> {
         let fingerprint = *self.unsaved.borrow().first()?;
         let records = self.records.borrow();
-        Some((fingerprint, records.get(&fingerprint).map_or(0, |record| record.holds)))
+        Some((fingerprint, records.get(&fingerprint).map_or(0, |record| record.quarantine_count)))
     }
 
-    /// Records that the next one has been written.
-    pub fn note_saved(&self) {
+    /// Records that the request returned by `next_unsaved` has been saved.
+    pub fn record_saved(&self) {
         self.unsaved.borrow_mut().remove(0);
     }
 
-    /// How many crashes of targets were seen, beside any node.
+    /// Number of crashes of targets of any node known to this node.
     pub fn crashes_seen(&self) -> u64 {
         self.crashes_seen.get()
     }
 
-    /// The number of suspects that are not held back, and of requests that are.
+    /// The number of suspects that are not quarantined, and of quarantined requests.
     pub fn counts(&self) -> (usize, usize) {
         let now = Instant::now();
         let records = self.records.borrow();
-        let held = records.values().filter(|record| now < record.held_until).count();
+        let quarantined = records.values().filter(|record| now < record.quarantined_until).count();
         let suspects = records.values().filter(|record| record.crashes >= SUSPECT_CRASHES).count();
-        (suspects - held, held)
+        (suspects - quarantined, quarantined)
     }
 }
--- a/src/mesh/receiver.rs
+++ b/src/mesh/receiver.rs
@@ -1,8 +1,8 @@
-//! The receiving side: runs calls on the target beside the node.
+//! The receiving side: runs calls on the local target.
 //!
-//! No other node reaches this target, so the rules for it are enforced only here: a draining
-//! incarnation gets no request, no more requests run than it has slots, and "not run" is reported
-//! only for a request that was not sent.
+//! All requests reach the target through its node, so the rules for it are enforced only here: a
+//! draining incarnation gets no request, no more requests run than it has slots, and "not run" is
+//! reported only for a request that the target has not run.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,14 +15,14 @@
 
 use crate::event::LogEvent;
 
-use super::ancestry::Origin;
-use super::crash::{self, note_interrupted};
+use super::crash::{self, record_interrupted};
 use super::crash_reports;
 use super::fingerprint;
 use super::frame::{Call, CallEnd, Doubt, Header, NotRun, TargetAnswer};
 use super::gate::GateError;
 use super::http1::{Connection, ExchangeError, Reply};
 use super::node::{CountGuard, Node};
+use super::running_requests::ParentRequest;
 use super::site::RouteKind;
 use super::target::Instance;
 
@@ -30,7 +30,7 @@
 const REMAINING_MIN: Duration = Duration::from_millis(3);
 /// The initial buffer for a request head, in bytes; fits a typical one.
 const HEAD_TYPICAL_BYTES: usize = 512;
-/// Hop-by-hop headers and those of message framing; they are not forwarded with an answer.
+/// Hop-by-hop and message-framing headers, which are not forwarded with an answer.
 const CONNECTION_HEADERS: [&str; 7] = [
     "connection",
     "keep-alive",
@@ -41,7 +41,7 @@
     "proxy-connection",
 ];
 
-/// The end of a call, and the cause where the connection to the target failed or broke.
+/// The result of a call, with details if the connection to the target failed or broke.
 struct CallResult {
     end: CallEnd,
     detail: String,
@@ -65,7 +65,7 @@
     let CallResult { end, detail } = admit_and_run(node, call, deadline).await;
     node.metrics.record_call(end.reason());
     if end.has_arrived() {
-        node.target.failing.note(end.counts_as_target_failure());
+        node.target.failing.record(end.counts_as_target_failure());
     }
     if !end.went_well() {
         let load = node.target.load();
@@ -99,17 +99,17 @@
     if is_broken { call.fingerprint().to_string() } else { String::new() }
 }
 
-/// Waits for a slot, and runs the call in it.
+/// Waits for a slot and runs the call in it.
 async fn admit_and_run(node: &Rc<Node>, call: &Call, deadline: Instant) -> CallResult {
     let _serving = CountGuard::new(&node.serving, 1);
-    if !node.takes_calls() {
+    if !node.accepts_calls() {
         return NotRun::Leaving.into();
     }
     let Some(instance) = current_instance(node, &call.service) else {
         return NotRun::NoTarget.into();
     };
     let gate = &node.target.gate;
-    // Half of the typical run time: a request that began later would most likely not finish.
+    // Half of the mean run time: a request that begins later would most likely not finish.
     let begin_by = deadline - REMAINING_MIN.max(gate.mean_run() / 2);
     let quarantine = &node.quarantine;
     let fingerprint = (!quarantine.is_empty()).then(|| call.fingerprint());
@@ -144,7 +144,7 @@
         return NotRun::Expired.into();
     }
     // The request may have crashed another target during the wait.
-    if fingerprint.is_some_and(|fingerprint| quarantine.is_held(fingerprint)) {
+    if fingerprint.is_some_and(|fingerprint| quarantine.is_quarantined(fingerprint)) {
         return NotRun::Quarantined.into();
     }
     run(node, call, deadline, &instance, connection).await
@@ -174,7 +174,7 @@
     let head = request_head(node, call, deadline, instance);
     node.record_root(&call.root);
     let has_failed_below = Rc::new(Cell::new(false));
-    let origin = Origin {
+    let parent = ParentRequest {
         root: call.root.as_str().into(),
         rank: call.rank,
         deadline,
@@ -183,7 +183,7 @@
         has_failed_below: Rc::clone(&has_failed_below),
         withdrawn: CancellationToken::new(),
     };
-    let running = node.ancestry.run(&call.attempt_id, origin);
+    let running = node.running_requests.register(&call.attempt_id, parent);
     let method = if call.method == "HEAD" { Method::HEAD } else { Method::GET };
     let attempt_id = node.header_names.attempt_id.as_str();
     let is_mine = |reply: &Reply| reply.header(attempt_id) == Some(&call.attempt_id);
@@ -192,8 +192,8 @@
         Ok(Ok(reply)) => reply,
         Ok(Err(error)) => {
             if matches!(error, ExchangeError::Broken(_)) {
-                note_interrupted(node, instance, call);
-                if may_be_repeated(node, call) {
+                record_interrupted(node, instance, call);
+                if is_retryable(node, call) {
                     crash::wait_for_check(node).await;
                 }
             }
@@ -206,16 +206,16 @@
         node.target.keep(connection);
     }
     let result = classify_reply(node, reply, has_failed_below.get());
-    // Only a success clears the request: one that crashes targets may also be declined, or fail on
-    // an inner call, before it reaches the point where it crashes.
+    // Only a success clears the request: one that crashes targets may also be declined, or fail
+    // because of an inner call, before it reaches the point where it crashes.
     if result.end.went_well() && !node.quarantine.is_empty() {
-        crash_reports::note_success(node, call.fingerprint());
+        crash_reports::record_success(node, call.fingerprint());
     }
     result
 }
 
-/// Whether the sender may repeat a call that may have run.
-fn may_be_repeated(node: &Node, call: &Call) -> bool {
+/// Whether the sender may retry a call that may have run.
+fn is_retryable(node: &Node, call: &Call) -> bool {
     let host = fingerprint::host(&call.headers);
     let path = call.path.split('?').next().unwrap_or_default();
     let route = node.site().and_then(|site| site.route(std::str::from_utf8(&host).ok()?, path));
--- a/src/mesh/report.rs
+++ b/src/mesh/report.rs
@@ -1,9 +1,10 @@
-//! Decides when peers are sent the load of the target beside this node.
+//! Decides when the load of the local target is reported to peers.
 //!
-//! Senders use it to choose among the targets of their own failure domain, and entries sum it over
+//! Senders choose among the targets of their own failure domain by it, and entry nodes sum it over
 //! all targets of a service. A sum over many targets tolerates older reports than a choice between
 //! a few, so the interval between reports grows with the number of targets that share the work.
-//! This bounds the reports that a node receives about one service, however many targets it has.
+//! This bounds the rate of reports that a node receives about one service, whatever the number of
+//! its targets.
 
 use std::time::Duration;
 
@@ -11,24 +12,24 @@
 
 use super::frame::Load;
 
-/// The minimum interval between reports while the target is busy. Half a queue can build up or
-/// drain in it.
+/// Minimum interval between reports while the target is busy. In this time, half a queue can build
+/// up or drain.
 pub const INTERVAL_BUSY: Duration = Duration::from_millis(180);
-/// The minimum interval between reports while the target has capacity: then no request is refused
-/// or rerouted because of a change.
+/// Minimum interval between reports while the target has capacity: a change then causes no request
+/// to be refused or rerouted.
 const INTERVAL_IDLE: Duration = Duration::from_millis(500);
-/// The target counts as busy above this share of its limit.
+/// Utilisation above which the target counts as busy.
 const BUSY_ABOVE: f64 = 0.9;
-/// A change of at least this share of the limit is reported.
+/// Minimum change of the utilisation that is reported.
 const CHANGE_MIN: f64 = 0.1;
-/// A change of at least this share is reported at the busy interval whatever the number of targets:
+/// Change of the utilisation that is reported at the busy interval whatever the number of targets:
 /// a burst has begun or ended.
 const CHANGE_URGENT: f64 = 0.5;
-/// Up to this number, each target reports at the full rate. Together they send each node at most 44
-/// reports a second (8 targets, 180 ms). More targets share this rate.
+/// Maximum number of targets that each report at the full rate. Together they send each node at
+/// most 44 reports a second (8 targets, 180 ms); more targets share this rate.
 const TARGETS_AT_FULL_RATE: f64 = 8.0;
 
-/// The load last reported to the nodes of one group, and when.
+/// The load last reported to a group of nodes, and the time of the report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
     load: Load,
@@ -36,8 +37,8 @@
 }
 
 impl LoadReport {
-    /// Whether `load` is to be reported now. `targets` is the number of targets of the service that
-    /// report to the same nodes, including this one.
+    /// Whether `load` should be reported now. `targets` is the number of targets of the service
+    /// that report to the same nodes, including this one.
     pub fn is_due(&self, load: Load, targets: usize, now: Instant) -> bool {
         let Some(reported_at) = self.reported_at else { return true };
         let age = now - reported_at;
@@ -57,7 +58,7 @@
     }
 
     /// Records that `load` has been reported.
-    pub fn note(&mut self, load: Load, now: Instant) {
+    pub fn record(&mut self, load: Load, now: Instant) {
         *self = Self { load, reported_at: Some(now) };
     }
 }
--- a/src/mesh/trail.rs
+++ b/src/mesh/request_log.rs
@@ -1,7 +1,7 @@
 //! The log entry and the metrics of a request, written when it has its final answer.
 //!
-//! On a small VM a log line costs more than the request itself. Only requests that failed, were
-//! slow or were repeated are always logged; of the others a sample is.
+//! On a small VM a log line costs more than the request itself. Requests that failed, were slow or
+//! were retried are always logged, others only as a sample.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,20 +18,20 @@
 use super::site::Route;
 use super::teams::admission::QuotaState;
 
-/// The attempts of a request.
+/// The attempts of a request and the decisions about it, for the log and the metrics.
 #[derive(Clone, Debug, Default)]
-pub struct Trail {
-    /// The service that was chosen; empty where none was.
+pub struct RequestSummary {
+    /// The service that was chosen; empty if none was.
     pub service: String,
     /// The nodes it was offered to, in order; `None` is this node.
     pub offered: Vec<Option<SocketAddr>>,
     /// How often it reached a target.
     pub arrivals: u32,
-    /// The fingerprint of the request, where it is held back.
-    pub held: Option<Fingerprint>,
-    /// The team whose key admitted it; empty where no key did.
+    /// The fingerprint of the request, if it was refused because of a quarantine.
+    pub quarantined: Option<Fingerprint>,
+    /// Team whose API key admitted the root request; empty if no key was used.
     pub team: Rc<str>,
-    /// What was known of the team's quota, where the request exceeded it.
+    /// State of the team's quota, if the request exceeded it.
     pub quota: Option<QuotaState>,
 }
 
@@ -41,7 +41,7 @@
     pub attempt_id: &'a str,
     /// The route of the request.
     pub route: &'a Route,
-    /// The route of the caller's request that this one belongs to.
+    /// The root route: that of the caller's request at the root of the call tree.
     pub root: &'a Rc<str>,
     /// When its head had been read.
     pub arrived: Instant,
@@ -49,57 +49,65 @@
     pub status: u16,
 }
 
-/// Counts a request that has its final answer, and logs it unless it went well and is not in the
+/// Counts a request that has its final answer, and logs it if it did not go well or is part of the
 /// sample.
-pub fn record_end(node: &Node, ended: &EndedRequest<'_>, outcome: &Outcome, trail: &Trail) {
+pub fn record_end(
+    node: &Node,
+    ended: &EndedRequest<'_>,
+    outcome: &Outcome,
+    summary: &RequestSummary,
+) {
     let latency = ended.arrived.elapsed();
     let (verdict, reason) = outcome.names();
     node.metrics.record_request(ended.root, reason, latency.as_secs_f64());
-    node.metrics.record_team_request(&trail.team, reason);
+    node.metrics.record_team_request(&summary.team, reason);
     let took_ms = latency.as_millis() as u64;
     let went_well = verdict == "answered"
         && ended.status < 500
-        && trail.arrivals <= 1
+        && summary.arrivals <= 1
         && took_ms <= ended.route.objective_ms;
     let one_in = node.settings.log.sampled_one_in.max(1);
     if went_well && node.rng.borrow_mut().random_range(0..one_in) > 0 {
         return;
     }
     let mut offered = Vec::new();
-    for peer in &trail.offered {
+    for peer in &summary.offered {
         offered.push(peer.map_or_else(|| "own".to_owned(), |address| address.to_string()));
     }
     node.log.emit(&LogEvent::RequestEnded {
         attempt: ended.attempt_id.to_owned(),
         root: ended.root.to_string(),
-        service: trail.service.clone(),
+        service: summary.service.clone(),
         verdict,
         reason,
         status: u32::from(ended.status),
         offered: offered.join(" "),
-        arrivals: trail.arrivals,
-        heard_ms: silent_ms(node, trail),
+        arrivals: summary.arrivals,
+        heard_ms: silent_ms(node, summary),
         admitted_percent: (node.overload.admission_probability(ended.route) * 100.0) as u32,
         limited_by: node.overload.limited_by(ended.route).unwrap_or_default(),
-        repeats_percent: (node.budgets.remaining(&trail.service) * 100.0) as u32,
+        repeats_percent: (node.budgets.remaining(&summary.service) * 100.0) as u32,
         config_version: node.site_version(),
-        team: trail.team.to_string(),
-        quota: trail.quota.as_ref().map(QuotaState::to_string).unwrap_or_default(),
-        fingerprint: trail.held.map(|held| held.to_string()).unwrap_or_default(),
+        team: summary.team.to_string(),
+        quota: summary.quota.as_ref().map(QuotaState::to_string).unwrap_or_default(),
+        fingerprint: summary
+            .quarantined
+            .map(|fingerprint| fingerprint.to_string())
+            .unwrap_or_default(),
         took_ms,
     });
 }
 
-/// The time since anything was last received from the last node that the request was offered to, in
-/// milliseconds; 0 if that was this node or its link is closed.
-fn silent_ms(node: &Node, trail: &Trail) -> u64 {
-    let Some(Some(address)) = trail.offered.last() else { return 0 };
+/// Time since the last bytes from the node that the request was last offered to, in milliseconds; 0
+/// if that is this node or its link is closed.
+fn silent_ms(node: &Node, summary: &RequestSummary) -> u64 {
+    let Some(Some(address)) = summary.offered.last() else { return 0 };
     let link = node.directory.get(*address).and_then(|peer| peer.open_link());
     link.map_or(0, |link| link.last_received().elapsed().as_millis() as u64)
 }
 
 /// A request that is being answered. When dropped, records whether its caller has disconnected.
-pub struct Answering<'a> {
+pub struct AnswerGuard<'a> {
     node: &'a Node,
     caller: &'a PeerWatch,
     attempt_id: &'a str,
@@ -109,7 +117,7 @@
     is_answered: bool,
 }
 
-impl<'a> Answering<'a> {
+impl<'a> AnswerGuard<'a> {
     /// Starts tracking a request of `caller` whose head has just been read.
     pub fn new(
         node: &'a Node,
@@ -129,7 +137,7 @@
     }
 }
 
-impl Drop for Answering<'_> {
+impl Drop for AnswerGuard<'_> {
     fn drop(&mut self) {
         if !self.caller.has_closed() {
             return;
--- a/src/mesh/ancestry.rs
+++ b/src/mesh/running_requests.rs
@@ -1,8 +1,9 @@
-//! Matches the calls that the target makes to the request it makes them for.
+//! Tracks the requests that the local target is running, and finds the parent request of each call
+//! that the target makes.
 //!
 //! The id of such a call is the id of the parent request, a dot and a suffix. The parent id is
-//! checked against the requests that the target is running now; an id that only has the same form
-//! counts as that of a new request.
+//! checked against the requests that the target is running now; an id of the same form whose parent
+//! is not running counts as that of a new request.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -12,43 +13,43 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Separates the id of the parent request from the suffix of a call made for it.
+/// Separates the id of the parent request from the suffix in the id of a call.
 const SEPARATOR: char = '.';
-/// How long a finished request is remembered, and how long after its start a node assumes that the
-/// target may still run requests of the previous process. Covers calls still in transit and targets
-/// that have not noticed the end yet.
+/// How long a finished request is remembered, and how long after the start of a node its target may
+/// still be running requests accepted by the previous process. Covers calls in transit and targets
+/// that have not yet noticed the end of a request.
 const ENDED_RETENTION: Duration = Duration::from_secs(6);
 /// Upper bound on remembered finished requests.
 const ENDED_MAX: usize = 20_000;
 
-/// What calls inherit from the request that they are made for.
+/// A request that the local target is running, with the properties that its calls inherit.
 #[derive(Clone, Debug)]
-pub struct Origin {
-    /// Route of the caller's original request.
+pub struct ParentRequest {
+    /// The root route: that of the caller's request at the root of the call tree.
     pub root: Rc<str>,
-    /// Priority rank of that route.
+    /// Its priority rank.
     pub rank: u8,
-    /// When the answer becomes useless.
+    /// When the answer is no longer of use.
     pub deadline: Instant,
     /// Whether the request is a retry, or was made by one.
     pub is_repeat: bool,
-    /// Team whose API key admitted the original request; empty if no key was used.
+    /// Team whose API key admitted the root request; empty if no key was used.
     pub team: Rc<str>,
     /// Whether a call made for the request has failed.
     pub has_failed_below: Rc<Cell<bool>>,
-    /// Cancelled when the request ends without an answer, as nobody waits for its calls any more.
+    /// Cancelled when the request ends without an answer, after which its calls serve no purpose.
     pub withdrawn: CancellationToken,
 }
 
 /// The requests that the local target is running.
 #[derive(Debug)]
-pub struct Ancestry {
+pub struct RunningRequests {
     started: Instant,
-    running: RefCell<HashMap<String, Origin>>,
+    running: RefCell<HashMap<String, ParentRequest>>,
     ended: RefCell<RecentlyEnded>,
 }
 
-impl Default for Ancestry {
+impl Default for RunningRequests {
     fn default() -> Self {
         Self { started: Instant::now(), running: RefCell::default(), ended: RefCell::default() }
     }
@@ -88,7 +89,7 @@
 
 /// Registers a request as running until dropped.
 pub struct RunGuard<'a> {
-    ancestry: &'a Ancestry,
+    running_requests: &'a RunningRequests,
     id: &'a str,
     withdrawn: CancellationToken,
     is_answered: bool,
@@ -103,32 +104,33 @@
 
 impl Drop for RunGuard<'_> {
     fn drop(&mut self) {
-        self.ancestry.running.borrow_mut().remove(self.id);
+        self.running_requests.running.borrow_mut().remove(self.id);
         if !self.is_answered {
             self.withdrawn.cancel();
         }
         let now = Instant::now();
-        let mut ended = self.ancestry.ended.borrow_mut();
+        let mut ended = self.running_requests.ended.borrow_mut();
         ended.evict_expired(now);
         ended.insert(self.id, self.is_answered, now);
     }
 }
 
-impl Ancestry {
+impl RunningRequests {
     /// Registers request `id` as running until the returned guard is dropped.
-    pub fn run<'a>(&'a self, id: &'a str, origin: Origin) -> RunGuard<'a> {
-        let withdrawn = origin.withdrawn.clone();
-        self.running.borrow_mut().insert(id.to_owned(), origin);
-        RunGuard { ancestry: self, id, withdrawn, is_answered: false }
+    pub fn register<'a>(&'a self, id: &'a str, parent: ParentRequest) -> RunGuard<'a> {
+        let withdrawn = parent.withdrawn.clone();
+        self.running.borrow_mut().insert(id.to_owned(), parent);
+        RunGuard { running_requests: self, id, withdrawn, is_answered: false }
     }
 
-    /// Number of running requests that originate from the route `root`.
+    /// Number of running requests with the root route `root`.
     pub fn running_of(&self, root: &str) -> usize {
-        self.running.borrow().values().filter(|origin| &*origin.root == root).count()
+        self.running.borrow().values().filter(|parent| &*parent.root == root).count()
     }
 
     /// Whether `id` names a call made for a request that has ended, or that may have been started
-    /// by the previous process of this node. Nobody waits for its answer.
+    /// by the previous process of this node. Such a call is refused, as its answer would not be
+    /// used.
     pub fn is_orphan(&self, id: &str) -> bool {
         let Some((parent, _)) = id.rsplit_once(SEPARATOR) else { return false };
         self.started.elapsed() < ENDED_RETENTION
@@ -141,8 +143,8 @@
         self.ended.borrow().answered.get(parent) == Some(&false)
     }
 
-    /// The request for which the target makes the call `id`, if it is running.
-    pub fn parent(&self, id: &str) -> Option<Origin> {
+    /// The parent request of the call `id`, if it is running.
+    pub fn parent(&self, id: &str) -> Option<ParentRequest> {
         let (parent, _) = id.rsplit_once(SEPARATOR)?;
         self.running.borrow().get(parent).cloned()
     }
--- a/src/mesh/sender.rs
+++ b/src/mesh/sender.rs
@@ -1,4 +1,4 @@
-//! The sending side: chooses a target for a request, sends it, and repeats it where that is
+//! The sending side: chooses a target for a request, sends it, and retries it where that is
 //! allowed.
 
 use std::net::SocketAddr;
@@ -8,26 +8,26 @@
 use bytes::Bytes;
 use tokio::time::{Instant, timeout_at};
 
-use super::directory::{Destination, PickRequest, utilization_of};
+use super::directory::{Destination, PickRequest, utilisation_of};
 use super::fingerprint::Fingerprint;
 use super::frame::{Call, CallEnd, Doubt, Header, NotRun, TargetAnswer};
 use super::node::{CountGuard, Node};
 use super::quarantine::Standing;
 use super::receiver;
+use super::request_log::RequestSummary;
 use super::site::{Route, RouteKind};
-use super::trail::Trail;
 
-/// How many targets one request is offered to at most, including those that refused it.
+/// Maximum number of targets that one request is offered to, including those that refuse it.
 const OFFERS_MAX: usize = 6;
-/// How long after the deadline the peer's answer is awaited: the peer knows whether the request
-/// ran, and says so at the deadline.
+/// How long after the deadline the answer of a peer is awaited: at the deadline, the peer reports
+/// whether the request has run.
 const ANSWER_GRACE: Duration = Duration::from_millis(30);
-/// The `retry-after` for a caller when no target was available, in milliseconds.
+/// `Retry-After` when no target was available, in milliseconds.
 const RETRY_AFTER_NO_TARGET_MS: u64 = 600;
-/// The `retry-after` for a caller when all targets were busy, in milliseconds.
+/// `Retry-After` when all targets were busy, in milliseconds.
 const RETRY_AFTER_BUSY_MS: u64 = 1_000;
 
-/// A request that was read completely.
+/// A request that has been read completely.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The id of the caller's attempt.
@@ -42,18 +42,18 @@
     pub body: Bytes,
     /// When an answer is no longer of use.
     pub deadline: Instant,
-    /// The route of the caller's request that this one belongs to.
+    /// The root route: that of the caller's request at the root of the call tree.
     pub root: Rc<str>,
-    /// The rank of that route.
+    /// Its priority rank.
     pub rank: u8,
-    /// Whether it was made by a run that is itself a repeat.
+    /// Whether it was made by a retry.
     pub is_repeat: bool,
-    /// The team whose key admitted the caller's request; empty where no key did.
+    /// Team whose API key admitted the root request; empty if no key was used.
     pub team: Rc<str>,
 }
 
 impl Request {
-    /// A hash that is the same whenever the request is sent again. Reads the whole body.
+    /// The fingerprint of the request. Reads the whole body.
     pub fn fingerprint(&self) -> Fingerprint {
         Fingerprint::of(&self.method, &self.path, &self.headers, &self.body)
     }
@@ -68,7 +68,7 @@
     NotRun {
         /// Why.
         reason: NotRun,
-        /// When the caller may try again, in milliseconds.
+        /// Time after which the caller may retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// It is unknown whether the request ran.
@@ -81,7 +81,7 @@
         Self::NotRun { reason, retry_after_ms }
     }
 
-    /// Whether the target answered with anything but a failure.
+    /// Whether the target answered with a status below 500.
     pub fn went_well(&self) -> bool {
         matches!(self, Self::Answered(answer) if !answer.is_failure())
     }
@@ -96,7 +96,7 @@
     }
 }
 
-/// A request being sent, with the state of its attempts.
+/// A request being sent, and the state of its attempts.
 struct Dispatch<'a> {
     node: &'a Rc<Node>,
     route: &'a Route,
@@ -104,15 +104,15 @@
     request: &'a Request,
     /// Peers it was offered to.
     tried: Vec<SocketAddr>,
-    /// Whether it was offered to the target beside this node.
-    tried_own: bool,
-    /// The attempts, for the log.
-    trail: Trail,
+    /// Whether it was offered to the local target.
+    tried_local: bool,
+    /// The attempts so far, for the log.
+    summary: RequestSummary,
 }
 
-/// Sends a request until it has its final outcome, and returns its attempts with it. Dropping the
-/// future cancels the request.
-pub async fn send(node: &Rc<Node>, route: &Route, request: &Request) -> (Outcome, Trail) {
+/// Sends a request, with retries, until it has its final outcome. Also returns a summary for the
+/// log. Dropping the future cancels the request.
+pub async fn send(node: &Rc<Node>, route: &Route, request: &Request) -> (Outcome, RequestSummary) {
     let service = &route.split[node.splitter.next(route)].service;
     if request.is_repeat {
         node.budgets.charge_inherited(service);
@@ -125,27 +125,27 @@
         service,
         request,
         tried: Vec::new(),
-        tried_own: false,
-        trail: Trail::default(),
+        tried_local: false,
+        summary: RequestSummary::default(),
     };
     let outcome = dispatch.run().await;
-    let mut trail = dispatch.trail;
-    service.clone_into(&mut trail.service);
+    let mut summary = dispatch.summary;
+    service.clone_into(&mut summary.service);
     if matches!(outcome, Outcome::NotRun { reason: NotRun::Quarantined, .. }) {
-        trail.held = Some(request.fingerprint());
+        summary.quarantined = Some(request.fingerprint());
     }
-    (outcome, trail)
+    (outcome, summary)
 }
 
 impl Dispatch<'_> {
     async fn run(&mut self) -> Outcome {
-        if let Some(left) = self.held_for() {
+        if let Some(left) = self.quarantine_left() {
             return Outcome::refused(NotRun::Quarantined, left.as_millis() as u64);
         }
         let mut last = CallEnd::NotRun(NotRun::NoTarget);
         // An earlier attempt that may have run takes precedence over a later refusal.
         let mut doubt = None;
-        // So does a failure that a target has answered with.
+        // So does a failure reported by a target.
         let mut failure = None;
         for _ in 0..OFFERS_MAX {
             let Some(destination) = self.pick().or_else(|| self.pick_tried()) else { break };
@@ -155,7 +155,7 @@
                 CallEnd::Answered(answer) => failure = Some(answer.clone()),
                 CallEnd::NotRun(_) => {}
             }
-            if !self.may_repeat(&last) {
+            if !self.may_retry(&last) {
                 break;
             }
         }
@@ -167,38 +167,38 @@
                 Outcome::MayHaveRun(doubt)
             }
             (CallEnd::NotRun(reason), None, None) => {
-                let held_ms = self.held_for().map(|left| left.as_millis() as u64);
-                Outcome::refused(reason, held_ms.unwrap_or_else(|| retry_after_ms(reason)))
+                let quarantine_ms = self.quarantine_left().map(|left| left.as_millis() as u64);
+                Outcome::refused(reason, quarantine_ms.unwrap_or_else(|| retry_after_ms(reason)))
             }
         }
     }
 
-    /// How the quarantine lets the request run, as far as this node knows.
+    /// Whether the quarantine lets the request run, as far as this node knows.
     fn standing(&self) -> Standing {
         let quarantine = &self.node.quarantine;
         if quarantine.is_empty() {
-            return Standing::Free;
+            return Standing::Unrestricted;
         }
         quarantine.standing(self.request.fingerprint())
     }
 
-    /// For how long the request is held back at least, if it is.
-    fn held_for(&self) -> Option<Duration> {
+    /// The minimum remaining time of the request's quarantine, if it is quarantined.
+    fn quarantine_left(&self) -> Option<Duration> {
         match self.standing() {
-            Standing::Held(left) => Some(left),
-            Standing::Free | Standing::Suspect => None,
+            Standing::Quarantined(left) => Some(left),
+            Standing::Unrestricted | Standing::Suspect => None,
         }
     }
 
-    /// Whether a repeat may crash the next target too: the request is a suspect, or it was running
-    /// when a target crashed and the next one is the last of the service.
+    /// Whether a retry might crash the next target too: the request is a suspect, or it was running
+    /// when a target crashed and at most one target of the service is left.
     fn may_crash_next_target(&self) -> bool {
         let quarantine = &self.node.quarantine;
         if quarantine.is_empty() {
             return false;
         }
         let fingerprint = self.request.fingerprint();
-        quarantine.standing(fingerprint) != Standing::Free
+        quarantine.standing(fingerprint) != Standing::Unrestricted
             || quarantine.has_crashed(fingerprint) && self.targets_ready() <= 1
     }
 
@@ -208,35 +208,35 @@
         self.node.directory.remote_targets(self.service).1 + usize::from(own.is_some())
     }
 
-    /// A target that was already tried, when no other is left.
+    /// A target that was already tried, once all others have been tried.
     fn pick_tried(&mut self) -> Option<Destination> {
-        if self.trail.arrivals == 0 {
+        if self.summary.arrivals == 0 {
             return None;
         }
         self.tried.clear();
-        self.tried_own = false;
+        self.tried_local = false;
         self.pick()
     }
 
     /// The next target, if any.
     fn pick(&self) -> Option<Destination> {
         let node = self.node;
-        let is_own = !self.tried_own && node.takes_calls();
+        let may_use_local = !self.tried_local && node.accepts_calls();
         let current = node.target.current().filter(|known| known.service == self.service);
-        let own_utilization = current.filter(|_| is_own).map(|known| {
-            utilization_of(node.target.load(), 0, known.is_cold)
+        let local_utilisation = current.filter(|_| may_use_local).map(|known| {
+            utilisation_of(node.target.load(), 0, known.is_cold)
                 + node.target.failing.cost(Instant::now())
         });
-        let wanted = PickRequest { service: self.service, own_utilization, tried: &self.tried };
+        let wanted = PickRequest { service: self.service, local_utilisation, tried: &self.tried };
         let mut rng = node.rng.borrow_mut();
         node.directory.pick(&wanted, &mut *rng)
     }
 
-    /// Counts `end` as an arrival if the request reached the target, and returns whether it may be
-    /// sent again. Takes from the retry budget if so.
-    fn may_repeat(&mut self, end: &CallEnd) -> bool {
+    /// Counts an arrival if the request reached the target, and returns whether it may be sent
+    /// again. Charges the retry budget if so.
+    fn may_retry(&mut self, end: &CallEnd) -> bool {
         let has_arrived = end.has_arrived();
-        self.trail.arrivals += u32::from(has_arrived);
+        self.summary.arrivals += u32::from(has_arrived);
         if self.request.deadline <= Instant::now() {
             return false;
         }
@@ -246,8 +246,8 @@
                 let may_crash = *doubt == Doubt::TargetBroke && self.may_crash_next_target();
                 self.route.kind == RouteKind::Idempotent && !may_crash
             }
-            // A failed inner call was repeated where it was made, if the budget allowed. Repeating
-            // the whole request would cost many times as much.
+            // A failed inner call has been retried by the node that made it, if the budget allowed.
+            // Retrying the whole request would cost many times as much.
             CallEnd::Answered(answer) => {
                 answer.is_failure()
                     && !answer.has_failed_below
@@ -259,7 +259,7 @@
         }
         let node = self.node;
         let nodes = node.directory.linked() + 1;
-        self.trail.arrivals < self.route.attempts_max
+        self.summary.arrivals < self.route.attempts_max
             && node.budgets.try_take(
                 self.service,
                 self.request.rank,
@@ -271,15 +271,15 @@
     /// Sends the request to one target.
     async fn attempt(&mut self, destination: &Destination) -> CallEnd {
         match destination {
-            Destination::Own => {
-                self.tried_own = true;
-                self.trail.offered.push(None);
+            Destination::Local => {
+                self.tried_local = true;
+                self.summary.offered.push(None);
                 let call = self.call();
                 receiver::serve(self.node, &call, self.request.deadline).await
             }
             Destination::Peer(peer) => {
                 self.tried.push(peer.address);
-                self.trail.offered.push(Some(peer.address));
+                self.summary.offered.push(Some(peer.address));
                 let Some(link) = peer.open_link() else { return CallEnd::NotRun(NotRun::Unsent) };
                 let mut pending = match link.call(self.call()) {
                     Ok(pending) => pending,
@@ -292,7 +292,7 @@
                 if suggests_unavailable(&end) {
                     peer.avoid();
                 }
-                peer.failing.note(end.counts_as_target_failure());
+                peer.failing.record(end.counts_as_target_failure());
                 end
             }
         }
@@ -307,7 +307,7 @@
             remaining_ms: left.as_millis() as u32,
             root: self.request.root.to_string(),
             rank: self.request.rank,
-            is_repeat: self.request.is_repeat || self.trail.arrivals > 0,
+            is_repeat: self.request.is_repeat || self.summary.arrivals > 0,
             team: self.request.team.to_string(),
             method: self.request.method.clone(),
             path: self.request.path.clone(),
@@ -326,7 +326,7 @@
     }
 }
 
-/// Whether an end suggests that the node or its target is unavailable.
+/// Whether the result of a call suggests that the peer or its target is unavailable.
 fn suggests_unavailable(end: &CallEnd) -> bool {
     match end {
         CallEnd::Answered(_)
@@ -338,7 +338,7 @@
     }
 }
 
-/// When a caller may try again, in milliseconds.
+/// `Retry-After` for a refusal, in milliseconds.
 fn retry_after_ms(reason: NotRun) -> u64 {
     match reason {
         NotRun::NoTarget | NotRun::Leaving | NotRun::Unreachable | NotRun::Unsent => {
@@ -356,7 +356,7 @@
     }
 }
 
-/// Counts a request of a caller as in flight until dropped.
-pub fn count(node: &Node) -> CountGuard<'_> {
+/// Counts a request of a caller as in flight until the guard is dropped.
+pub fn count_in_flight(node: &Node) -> CountGuard<'_> {
     CountGuard::new(&node.in_flight, 1)
 }
--- a/src/mesh/settings.rs
+++ b/src/mesh/settings.rs
@@ -18,7 +18,7 @@
     pub node: NodeSection,
     /// Where it listens.
     pub listen: ListenSection,
-    /// The target beside it.
+    /// The local target.
     pub target: TargetSection,
     /// Time limits.
     pub timing: TimingSection,
@@ -42,7 +42,7 @@
     pub name: String,
     /// Its failure domain.
     pub failure_domain: String,
-    /// The service of the target beside it, until the target announces another.
+    /// The service of the local target, until a heartbeat names another.
     pub service: String,
     /// The memory limit, in mebibytes.
     pub memory_mb: u64,
@@ -57,7 +57,7 @@
     pub callers: SocketAddr,
     /// For readiness probes.
     pub readiness: SocketAddr,
-    /// For heartbeats of the target beside it.
+    /// For heartbeats of the local target.
     pub targets: SocketAddr,
     /// For peers.
     pub peers: SocketAddr,
@@ -65,7 +65,7 @@
     pub metrics: SocketAddr,
 }
 
-/// The target beside a node.
+/// The local target.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct TargetSection {
     /// Its address.
@@ -75,14 +75,14 @@
 /// Time limits.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct TimingSection {
-    /// How long a node keeps running after it was told to stop, in milliseconds.
+    /// The stop grace period: how long a node keeps running after SIGTERM, in milliseconds.
     pub stop_grace_ms: u64,
 }
 
 /// Admission under overload.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 pub struct OverloadSection {
-    /// How admission is decided.
+    /// The admission policy.
     pub policy: Policy,
 }
 
@@ -90,18 +90,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct TeamsSection {
-    /// How a quota is divided among the nodes.
+    /// How quotas are distributed among the entry nodes.
     pub quota: QuotaPolicy,
     /// The window over which the runs of a team are counted, in milliseconds.
     pub window_ms: u64,
-    /// How far the runs in a window may exceed the quota, as a share of it.
+    /// Tolerated excess of the runs in a window, as a share of the quota.
     pub overage: f64,
-    /// How many runs beyond that may exceed it.
+    /// Additional tolerated excess, in runs.
     pub slack: f64,
 }
 
 impl TeamsSection {
-    /// How far quotas may be exceeded.
+    /// The tolerated excess over quotas.
     pub fn tolerance(&self) -> Tolerance {
         let window = Duration::from_millis(self.window_ms);
         Tolerance { window, share: self.overage, slack: self.slack }
@@ -127,17 +127,17 @@
 
 impl Default for LogSection {
     /// Writing a line costs about as much as a call through two nodes, so few successful requests
-    /// are logged, and under overload no more lines than help to find its cause.
+    /// are logged, and under overload only as many lines as are needed to find its cause.
     fn default() -> Self {
         Self { sampled_one_in: 500, request_lines_max: REQUESTS_PER_WINDOW }
     }
 }
 
-/// The retry budget of a service, over all nodes together.
+/// The retry budget of each service, over all nodes together.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct RetrySection {
-    /// Repeats as a share of requests.
+    /// Retries as a share of requests.
     pub share: f64,
-    /// How many repeats of a service are allowed beyond that in any ten seconds.
+    /// Number of retries to a service allowed beyond that in any ten seconds.
     pub slack: u32,
 }
--- a/src/mesh/site.rs
+++ b/src/mesh/site.rs
@@ -5,7 +5,7 @@
 
 use super::teams::roster::{Roster, Team};
 
-/// Whether a request whose outcome is unknown may be repeated.
+/// Whether a request whose outcome is unknown may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// It may run any number of times.
@@ -23,7 +23,7 @@
     pub weight: u32,
 }
 
-/// Where requests of one host and path prefix go, and how they are treated.
+/// Maps the requests of one host and path prefix to services, with their deadlines and priority.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// The name, as given by the operator.
@@ -32,17 +32,17 @@
     pub host: String,
     /// The path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// Whether its requests may be repeated.
+    /// Whether its requests may be retried.
     pub kind: RouteKind,
-    /// How long a caller waits at most, in milliseconds.
+    /// Maximum time until the answer, in milliseconds.
     pub timeout_ms: u64,
     /// The latency objective, in milliseconds.
     pub objective_ms: u64,
     /// The rank of its requests; 0 is the most important.
     pub rank: u8,
-    /// How many targets one request may be sent to.
+    /// Maximum number of times that one request may reach a target.
     pub attempts_max: u32,
-    /// Whether requests without a key are admitted, where the site has teams.
+    /// Whether requests without a valid API key are admitted even if the site has teams.
     pub needs_no_key: bool,
     /// The services among which its requests are divided; never empty.
     pub split: Vec<Share>,
@@ -86,7 +86,7 @@
     routes: HashMap<String, HashMap<String, Rc<Route>>>,
     /// The least important rank of any route.
     rank_max: u8,
-    /// The services that the operator lists; empty where there is no list.
+    /// The services listed by the operator; empty if there is no list.
     services: HashSet<String>,
 }
 
--- a/src/mesh/socket.rs
+++ b/src/mesh/socket.rs
@@ -8,17 +8,17 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::timeout;
 
-/// How long establishing a connection may take.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long sent data may stay unacknowledged before the kernel closes the connection. A dead
-/// connection is noticed after this time, and a new one may work.
+/// How long sent data may stay unacknowledged before the kernel closes the connection. Bounds the
+/// time until a dead connection is detected and replaced.
 const USER_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// How long a connection may be idle before the first keepalive probe; the interval between probes
 /// is half of it.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
 /// How many keepalive probes may go unanswered.
 const KEEPALIVE_RETRIES: u32 = 2;
-/// The length of the accept queue. When it overflows in a burst, the SYN is sent again only after a
+/// Length of the accept queue. If it overflows in a burst, clients resend their SYN only after a
 /// second, which delays a caller by a second or more.
 const BACKLOG: u32 = 1_024;
 
--- a/src/mesh/split.rs
+++ b/src/mesh/split.rs
@@ -8,8 +8,8 @@
 
 /// The credit of each service of each split route.
 ///
-/// Smooth weighted round robin: over any span, the share of a service differs from its weight by
-/// less than one request, so that shares hold for small numbers of requests too.
+/// Smooth weighted round robin: over any span, the number of requests of a service differs from its
+/// weighted share by less than one, so the shares hold for small numbers of requests too.
 #[derive(Debug, Default)]
 pub struct Splitter {
     credits: RefCell<HashMap<Rc<str>, Vec<i64>>>,
--- a/src/mesh/target.rs
+++ b/src/mesh/target.rs
@@ -1,4 +1,4 @@
-//! The target beside the node: its state as learnt from heartbeats, and connections to it.
+//! The local target: its state according to heartbeats, and the connections to it.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -6,17 +6,17 @@
 use std::rc::Rc;
 
 use super::crash::InterruptedRequests;
-use super::failing::FailureShare;
+use super::failure_share::FailureShare;
 use super::frame::Load;
 use super::gate::Gate;
 use super::http1::Connection;
 use super::incarnation::Incarnation;
 
-/// How many incarnations that have left are remembered.
+/// Maximum number of remembered incarnations that have left.
 const LEFT_MAX: usize = 64;
-/// How many incarnations are tracked at once.
+/// Maximum number of incarnations whose last heartbeat is kept.
 const TRACKED_MAX: usize = 64;
-/// How many idle connections to the target are kept.
+/// Maximum number of idle connections to the target.
 const IDLE_MAX: usize = 64;
 
 /// The heartbeat of a target.
@@ -28,11 +28,11 @@
     pub sequence: u64,
     /// Its service.
     pub service: String,
-    /// How many requests it runs concurrently.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
     /// Whether it accepts new work.
     pub state: TargetState,
-    /// How much longer it needs to warm up, in milliseconds.
+    /// Remaining warm-up time, in milliseconds.
     pub cold_ms: u64,
 }
 
@@ -41,14 +41,14 @@
 pub enum TargetState {
     /// It accepts new work.
     Ready,
-    /// It only finishes the work it has.
+    /// It finishes its current work and accepts no more.
     Draining,
 }
 
 /// An incarnation that accepts work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Which one it is.
+    /// The identity of the incarnation.
     pub incarnation: Incarnation,
     /// Its service.
     pub service: String,
@@ -64,7 +64,7 @@
     instance: Rc<Instance>,
 }
 
-/// The target beside the node.
+/// The local target.
 #[derive(Debug)]
 pub struct Target {
     /// The address on which it listens.
@@ -105,8 +105,8 @@
 
     /// Applies a heartbeat. Returns whether the state has changed.
     ///
-    /// Ignored are heartbeats that arrive out of order, and those of an incarnation that has left
-    /// or was followed by another one under the same id.
+    /// Ignores heartbeats that arrive out of order, and those of an incarnation that has left or
+    /// was replaced by a later one with the same id.
     pub fn apply_heartbeat(&self, heartbeat: &Heartbeat) -> bool {
         let incarnation = &heartbeat.incarnation;
         if heartbeat.state == TargetState::Draining {
@@ -131,7 +131,7 @@
         self.set_current(instance, slots)
     }
 
-    /// Whether a later heartbeat under the same id is known, of this incarnation or a later one.
+    /// Whether a later heartbeat with the same id is known, of this incarnation or a later one.
     fn is_outdated(&self, heartbeat: &Heartbeat) -> bool {
         let last_heartbeats = self.last_heartbeats.borrow();
         let Some(known) = last_heartbeats.get(&heartbeat.incarnation.id) else { return false };
@@ -157,7 +157,7 @@
         self.set_current(instance, slots)
     }
 
-    /// Stops giving work to an incarnation, and to earlier ones under the same id, for good.
+    /// Permanently stops giving work to an incarnation and to earlier ones with the same id.
     /// Returns whether the state has changed.
     pub fn mark_left(&self, incarnation: &Incarnation) -> bool {
         let mut incarnation = incarnation.clone();
@@ -225,7 +225,7 @@
         let before = self.current.replace(Some(Rc::clone(&instance)));
         if before.as_ref().is_some_and(|before| before.incarnation != instance.incarnation) {
             self.close_idle();
-            self.failing.forget();
+            self.failing.reset();
         }
         self.gate.set_slots(slots);
         before.as_ref() != Some(&instance)
--- a/src/mesh/teams/admission.rs
+++ b/src/mesh/teams/admission.rs
@@ -18,10 +18,10 @@
 use super::quota::{QuotaPolicy, TeamLease};
 use super::roster::{Quota, Team};
 
-/// The pause before the owner is looked up again, after the node that was asked cannot be reached or does not own
-/// the quota. The fleet has changed then, and all nodes agree on the owner again soon.
+/// The pause before the owner is looked up again, if the node that was asked cannot be reached or does not own the
+/// quota. The fleet has then changed, and all nodes will soon agree on an owner again.
 const LOOKUP_PAUSE: Duration = Duration::from_millis(50);
-/// How often the owner is looked up for one request.
+/// The maximum number of look-ups of the owner for one request.
 const LOOKUPS_MAX: usize = 4;
 
 /// The team that a request is attributed to.
@@ -75,8 +75,8 @@
 pub struct QuotaState {
     /// The quota.
     pub quota: Quota,
-    /// The tokens that the owner had granted over the last five seconds, and the age of that report. None if no
-    /// owner has answered.
+    /// The tokens granted by the owner over the last five seconds, and the age of that report. None if no owner has
+    /// answered.
     pub used: Option<(u32, Duration)>,
 }
 
@@ -93,43 +93,43 @@
     }
 }
 
-/// Admits a request by the quota of its team. Asks the owner for tokens if the node has none.
+/// Admits a request by the quota of its team. Requests tokens from the owner if the node has none.
 pub async fn admit(node: &Rc<Node>, team: &Team) -> Result<(), OverQuota> {
     let Some(quota) = team.quota else { return Ok(()) };
     let now = Instant::now();
-    let held = node.quotas.lease(&team.name, now);
-    held.lease.borrow_mut().record_demand(now);
+    let team_lease = node.quotas.lease(&team.name, now);
+    team_lease.lease.borrow_mut().record_demand(now);
     if node.quotas.policy == QuotaPolicy::Equal {
-        return admit_by_equal_share(node, quota, &held);
+        return admit_by_equal_share(node, quota, &team_lease);
     }
     for _ in 0..LOOKUPS_MAX {
         let Some(owner) = node.quotas.owner(&team.name) else {
-            return admit_as_owner(node, team, quota, &held);
+            return admit_as_owner(node, team, quota, &team_lease);
         };
         let Some(link) = node.directory.get(owner).and_then(|peer| peer.open_link()) else {
             sleep(LOOKUP_PAUSE).await;
             continue;
         };
-        let _guard = WaitingGuard::new(&held);
-        let step = held.lease.borrow_mut().next_step(Instant::now());
+        let _guard = WaitingGuard::new(&team_lease);
+        let step = team_lease.lease.borrow_mut().next_step(Instant::now());
         match step {
-            Step::Decided(decision) => return into_result(decision, quota, &held),
+            Step::Decided(decision) => return into_result(decision, quota, &team_lease),
             Step::UseEqualShare => break,
             Step::Ask(tokens) => {
                 link.send(&Frame::QuotaWanted { team: team.name.to_string(), tokens });
             }
             Step::Wait => {}
         }
-        if timeout(OWNER_TIMEOUT, held.answered.notified()).await.is_err() {
-            // If nothing comes back, the ping closes the link, and that node is no longer an owner.
+        if timeout(OWNER_TIMEOUT, team_lease.answered.notified()).await.is_err() {
+            // If the ping is not answered either, the link is closed, and that node is no longer an owner.
             link.ping();
             break;
         }
-        if held.asked_wrong_node.take() {
+        if team_lease.asked_wrong_node.take() {
             sleep(LOOKUP_PAUSE).await;
         }
     }
-    admit_by_equal_share(node, quota, &held)
+    admit_by_equal_share(node, quota, &team_lease)
 }
 
 /// Admits a request by a quota that this node owns.
@@ -137,10 +137,10 @@
     node: &Node,
     team: &Team,
     quota: Quota,
-    held: &TeamLease,
+    team_lease: &TeamLease,
 ) -> Result<(), OverQuota> {
     let now = Instant::now();
-    let mut lease = held.lease.borrow_mut();
+    let mut lease = team_lease.lease.borrow_mut();
     let mut decision = lease.try_take(now);
     if decision == Decision::Unknown {
         if let Some(grant) = node.quotas.grant(&team.name, quota, 1, now) {
@@ -149,16 +149,16 @@
         decision = lease.try_take(now);
     }
     drop(lease);
-    into_result(decision, quota, held)
+    into_result(decision, quota, team_lease)
 }
 
 /// Counts a request as waiting for the owner's answer until dropped.
 struct WaitingGuard<'a>(&'a TeamLease);
 
 impl<'a> WaitingGuard<'a> {
-    fn new(held: &'a TeamLease) -> Self {
-        held.lease.borrow_mut().waiting += 1;
-        Self(held)
+    fn new(team_lease: &'a TeamLease) -> Self {
+        team_lease.lease.borrow_mut().waiting += 1;
+        Self(team_lease)
     }
 }
 
@@ -169,26 +169,30 @@
 }
 
 /// Admits a request by this node's equal share of the quota.
-fn admit_by_equal_share(node: &Node, quota: Quota, held: &TeamLease) -> Result<(), OverQuota> {
+fn admit_by_equal_share(
+    node: &Node,
+    quota: Quota,
+    team_lease: &TeamLease,
+) -> Result<(), OverQuota> {
     let initial_tokens = match node.quotas.policy {
         QuotaPolicy::Leased => node.quotas.tolerance.initial_tokens(quota),
         QuotaPolicy::Equal => quota.burst,
     };
     let nodes = node.quotas.fleet().known;
     let rng = &mut *node.rng.borrow_mut();
-    let decision = held.lease.borrow_mut().try_take_equal_share(
+    let decision = team_lease.lease.borrow_mut().try_take_equal_share(
         quota,
         initial_tokens,
         nodes,
         Instant::now(),
         rng,
     );
-    into_result(decision, quota, held)
+    into_result(decision, quota, team_lease)
 }
 
-fn into_result(decision: Decision, quota: Quota, held: &TeamLease) -> Result<(), OverQuota> {
+fn into_result(decision: Decision, quota: Quota, team_lease: &TeamLease) -> Result<(), OverQuota> {
     let Decision::Refused { retry_after } = decision else { return Ok(()) };
-    let used = held.lease.borrow().used(Instant::now());
+    let used = team_lease.lease.borrow().used(Instant::now());
     Err(OverQuota { retry_after, state: QuotaState { quota, used } })
 }
 
@@ -207,27 +211,27 @@
     link.send(&Frame::QuotaGranted { team, grant });
 }
 
-/// Handles the answer of a node that was asked for tokens. Returns tokens that came too late.
+/// Handles the answer to a request for tokens. Sends back tokens that came too late.
 pub fn handle_answer(node: &Node, link: &Link, team: String, grant: Option<QuotaGrant>) {
-    let Some(held) = node.quotas.existing_lease(&team) else { return };
-    held.asked_wrong_node.set(grant.is_none());
+    let Some(team_lease) = node.quotas.existing_lease(&team) else { return };
+    team_lease.asked_wrong_node.set(grant.is_none());
     let grant = grant.map(|grant| Grant {
         tokens: grant.tokens,
         next_token_in: Duration::from_millis(grant.dry_ms.into()),
         retry_after: Duration::from_millis(grant.come_back_ms.into()),
         used: grant.used,
     });
-    let tokens = held.lease.borrow_mut().handle_answer(grant, Instant::now());
+    let tokens = team_lease.lease.borrow_mut().handle_answer(grant, Instant::now());
     if tokens > 0 {
         link.send(&Frame::QuotaReturned { team, tokens });
     }
-    held.answered.notify_waiters();
+    team_lease.answered.notify_waiters();
 }
 
 /// Returns the token of a request that was admitted and has not run. Does nothing for a request without a team.
 pub fn refund_token(node: &Node, team: &str) {
-    if let Some(held) = node.quotas.existing_lease(team) {
-        held.lease.borrow_mut().put_back(Instant::now());
+    if let Some(team_lease) = node.quotas.existing_lease(team) {
+        team_lease.lease.borrow_mut().put_back(Instant::now());
     }
 }
 
--- a/src/mesh/teams/lease.rs
+++ b/src/mesh/teams/lease.rs
@@ -9,11 +9,11 @@
 use super::owner::{Grant, scaled};
 use super::roster::Quota;
 
-/// How long leased tokens are valid. Bounds by how much the executed requests of a window may exceed the tokens
-/// granted in it.
+/// How long leased tokens are valid. Bounds the excess of the requests that run in a window over the tokens granted in
+/// it.
 pub const LEASE_DURATION: Duration = Duration::from_millis(250);
-/// The period of average demand for which an entry requests tokens in addition to those of waiting requests, so
-/// that a team with much traffic at one entry does not cause a message for each request.
+/// The period of average demand for which an entry node requests tokens in addition to those of waiting requests, so
+/// that a team with much traffic at one entry node does not cause a message for each request.
 const PREFETCH: Duration = Duration::from_millis(100);
 /// The time constant of the exponential moving average of the demand.
 const DEMAND_TIME_CONSTANT_S: f64 = 1.0;
@@ -21,7 +21,7 @@
 pub const OWNER_TIMEOUT: Duration = Duration::from_millis(100);
 /// The time after which a request for tokens counts as lost and is sent again.
 const REQUEST_LOST_AFTER: Duration = Duration::from_secs(1);
-/// The shortest pause before an owner that had no tokens left is asked again.
+/// The minimum pause before the next request to an owner that had no tokens left.
 const EMPTY_MIN: Duration = Duration::from_millis(20);
 
 /// Whether a request may run, as far as the entry node can decide.
@@ -34,16 +34,16 @@
         /// The time after which the caller may retry.
         retry_after: Duration,
     },
-    /// The owner has to be asked for tokens.
+    /// Tokens have to be requested from the owner.
     Unknown,
 }
 
-/// The next step of a request that needs a token.
+/// The next step for a request that needs a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// The decision is made.
     Decided(Decision),
-    /// Ask the owner for this many tokens and wait for the answer.
+    /// Request this many tokens from the owner and wait for the answer.
     Ask(u32),
     /// Wait for the owner's answer to an earlier request.
     Wait,
@@ -56,7 +56,7 @@
 pub struct Lease {
     tokens: u32,
     valid_until: Instant,
-    /// Until when the owner has no tokens left, and when callers refused until then may retry.
+    /// When the owner has tokens again, and when callers refused until then may retry.
     empty_until: Instant,
     retry_at: Instant,
     /// Recent requests, weighted by their age.
@@ -64,7 +64,7 @@
     demand_updated_at: Instant,
     /// The number of requests that wait for the owner's answer.
     pub waiting: u32,
-    /// When the owner was asked and for how many tokens, while its answer is outstanding.
+    /// The time and the number of tokens of the pending request to the owner, if any.
     pending_request: Option<(Instant, u32)>,
     /// The tokens granted to all nodes over the last five seconds, and when the owner reported them.
     used: u32,
@@ -110,7 +110,7 @@
         Decision::Unknown
     }
 
-    /// The next step of a request whose team's quota another node owns.
+    /// The next step for a request whose team's quota is owned by another node.
     pub fn next_step(&mut self, now: Instant) -> Step {
         let decision = self.try_take(now);
         if decision != Decision::Unknown {
@@ -146,13 +146,13 @@
         }
     }
 
-    /// How many tokens to ask for: one for each waiting request, plus those for expected demand.
+    /// The number of tokens to request: one for each waiting request, plus those for expected demand.
     fn wanted(&self) -> u32 {
         let expected = self.demand / DEMAND_TIME_CONSTANT_S * PREFETCH.as_secs_f64();
         self.waiting.max(1) + expected as u32
     }
 
-    /// Adds the tokens of a grant by the owner, which was asked for `wanted` tokens.
+    /// Adds the tokens of a grant by the owner, of which `wanted` were requested.
     pub fn add_grant(&mut self, grant: &Grant, wanted: u32, now: Instant) {
         self.reported_at = Some(now);
         self.used = grant.used;
--- a/src/mesh/teams/owner.rs
+++ b/src/mesh/teams/owner.rs
@@ -10,11 +10,11 @@
 /// Number and duration of the slots of the sliding window in which grants are counted.
 const SLOT_COUNT: usize = 10;
 const SLOT_DURATION: Duration = Duration::from_millis(500);
-/// The initial tokens of a new owner's bucket, as a share of the tolerance. A new owner does not know what the
-/// previous one has granted within the window; with a quarter, up to four changes of owner within a window stay
-/// within the tolerance.
+/// The initial tokens of a new owner's bucket, as a share of the tolerance. A new owner does not know what the previous
+/// one has granted within the window; with a quarter, up to four changes of owner in a window stay within the
+/// tolerance.
 const INITIAL_SHARE: f64 = 0.25;
-/// The longest time after which a refused caller is told to retry.
+/// The maximum retry time given to a refused caller.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(5);
 
 /// By how much the executed requests of a team may exceed its quota, as bounded by the platform.
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub struct OwnedQuota {
     bucket: Bucket,
-    /// The latest time at which a refused caller was told to retry.
+    /// The latest retry time given to a refused caller.
     last_retry_at: Instant,
     /// Granted tokens by slot, in a ring, and the number of the newest slot.
     granted: [u32; SLOT_COUNT],
--- a/src/mesh/teams/quota.rs
+++ b/src/mesh/teams/quota.rs
@@ -22,7 +22,7 @@
     /// The owner of a team's quota leases tokens to entry nodes on request.
     #[default]
     Leased,
-    /// Each entry node has an equal share.
+    /// Each entry node has an equal share of the quota.
     Equal,
 }
 
@@ -57,7 +57,7 @@
 pub struct TeamLease {
     /// The lease.
     pub lease: RefCell<Lease>,
-    /// Notifies the requests that wait for the owner's answer.
+    /// Wakes the requests that wait for the owner's answer.
     pub answered: Notify,
     /// Whether the node that answered last does not own the quota.
     pub asked_wrong_node: Cell<bool>,
@@ -157,8 +157,8 @@
     /// Removes the tokens of expired leases, and returns their number by team. Also drops the leases of idle teams.
     pub fn take_expired(&self, now: Instant) -> Vec<(Rc<str>, u32)> {
         let mut expired = Vec::new();
-        self.leases.borrow_mut().retain(|team, held| {
-            let mut lease = held.lease.borrow_mut();
+        self.leases.borrow_mut().retain(|team, team_lease| {
+            let mut lease = team_lease.lease.borrow_mut();
             let tokens = lease.take_expired(now);
             if tokens > 0 {
                 expired.push((Rc::clone(team), tokens));
--- a/src/mesh/window.rs
+++ b/src/mesh/window.rs
@@ -1,8 +1,8 @@
-//! A learnt bound on how many requests an entry may have in flight that reach one service.
+//! Learns a bound on the requests in flight of an entry node that reach one service.
 //!
-//! The entry compares its requests in flight with the utilisation of the service's targets, and
-//! derives how many of them correspond to the desired utilisation. Such a bound takes effect at once
-//! when traffic rises, without any news from peers. A probability of admission reacts only after
+//! The entry node relates its requests in flight to the utilisation of the service's targets, and
+//! derives the number that corresponds to the desired utilisation. Such a bound takes effect at
+//! once when traffic rises, without updates from peers. An admission probability reacts only after
 //! queues have grown, half a second later, and then oscillates around its set point.
 //!
 //! Utilisation here is the running and waiting requests of all targets as a share of what these
@@ -13,41 +13,41 @@
 
 /// The desired utilisation.
 const DESIRED_UTILISATION: f64 = 1.2;
-/// The decay per adjustment of the sums that relate requests in flight to utilisation. With
-/// adjustments every 100 ms they are averages over about two seconds.
+/// Decay per adjustment of the sums of requests in flight and of utilisation. With adjustments
+/// every 100 ms they are averages over about two seconds.
 const DECAY: f64 = 0.95;
-/// The estimate is used once the sum of utilisation reaches this: a tenth of the slots in use for
-/// two seconds.
+/// Minimum sum of utilisation at which the estimate is used without the fair share: a tenth of the
+/// slots in use for two seconds.
 const UTILISATION_SUM_MIN: f64 = 2.0;
-/// Above this utilisation queues grow, and requests in flight reflect only the length of the
-/// queues, so nothing is learnt.
+/// Maximum utilisation at which samples are added to the sums. Above it queues grow, and requests
+/// in flight reflect only the length of the queues.
 const LEARN_UTILISATION_MAX: f64 = 1.0;
-/// How fast the correction follows the measured utilisation, per adjustment.
+/// Rate at which the correction follows the measured utilisation, per adjustment.
 const CORRECTION_RATE: f64 = 0.08;
 /// The range of the correction.
 const CORRECTION_RANGE: (f64, f64) = (0.1, 1.5);
-/// By how many times its square root the number of requests in flight may exceed its mean by
-/// chance.
+/// Headroom for random variation of the requests in flight, in multiples of the square root of
+/// their mean.
 const DEVIATIONS: f64 = 2.0;
-/// How many more requests may be in flight while the service has ample capacity.
+/// Additional requests that may be in flight while the service has ample capacity.
 const SPARE_REQUESTS: f64 = 4.0;
-/// At or below this utilisation the whole of `SPARE_REQUESTS` is granted.
+/// Utilisation up to which the whole of `SPARE_REQUESTS` is granted.
 const UTILISATION_LOW: f64 = 0.6;
-/// The part of the bound that each rank leaves to the ranks above it.
+/// Fraction of the bound that each rank leaves to more important ranks.
 const RESERVE_PER_RANK: f64 = 0.12;
-/// The largest part of the bound that the least important rank leaves to all ranks above it.
+/// Maximum fraction of the bound that the least important rank leaves to all others.
 const RESERVE_MAX: f64 = 0.24;
 
-/// The part of the bound that requests of each route may fill whatever their rank. Shedding a route
-/// that uses less frees hardly any capacity for others, and no route is starved.
+/// Fraction of the bound that requests of each route may fill whatever their rank. Shedding a route
+/// that uses less would free hardly any capacity, and no route is starved.
 const RESERVED_SHARE: f64 = 0.10;
 
-/// The desired share of the bound in use. Shedding by rank keeps the rest free, so that requests are
-/// rarely refused because the bound is reached, which hits every rank.
+/// Desired fraction of the bound in use. Shedding by rank keeps the rest free, so that the bound
+/// itself, which refuses requests of every rank, is rarely reached.
 const DESIRED_FILL: f64 = 0.7;
-/// How fast the level moves towards that share, per adjustment.
+/// Rate at which the level follows the deviation from `DESIRED_FILL`, per adjustment.
 const LEVEL_RATE: f64 = 0.3;
-/// The largest change of the level per adjustment.
+/// Maximum change of the level per adjustment.
 const LEVEL_STEP_MAX: f64 = 0.1;
 
 /// The bound on requests in flight that reach one service.
@@ -56,13 +56,13 @@
     /// Decaying sums of the requests in flight and of the utilisation at the same moments.
     in_flight_sum: f64,
     utilisation_sum: f64,
-    /// Factor on the bound that corrects for the measured utilisation.
+    /// Factor on the bound, which corrects it by the measured utilisation.
     correction: f64,
-    /// The utilisation last measured.
+    /// The utilisation at the last adjustment.
     utilisation: f64,
     /// The level at which every rank is admitted.
     top: f64,
-    /// The fair number of requests in flight for this entry.
+    /// The fair share of this entry node, in requests in flight.
     fair_share: f64,
     /// Ranks below the level are admitted; the rank that the level falls in is admitted with the
     /// probability of the level's fraction. Unknown before the first adjustment.
@@ -92,8 +92,8 @@
 impl Window {
     /// Applies the utilisation of the service, and the requests in flight at that moment.
     ///
-    /// `top` is the level at which every rank is admitted; `fair_share` is the fair number of
-    /// requests in flight for this entry, which is used while too little has been learnt.
+    /// `top` is the level at which every rank is admitted; `fair_share` is the fair share of this
+    /// entry node in requests in flight, which is used while there are too few samples.
     pub fn adjust(&mut self, utilisation: f64, in_flight: f64, top: f64, fair_share: f64) {
         self.utilisation = utilisation;
         self.top = top;
@@ -110,7 +110,7 @@
             let change = (DESIRED_UTILISATION - utilisation).clamp(-1.0, 0.5) * CORRECTION_RATE;
             self.correction *= 1.0 + change;
         } else {
-            // The correction learnt in a burst does not apply once it is over.
+            // The correction learned in a burst does not apply once it is over.
             self.correction += (1.0 - self.correction) * (1.0 - DECAY);
         }
         self.correction = self.correction.clamp(CORRECTION_RANGE.0, CORRECTION_RANGE.1);
@@ -137,11 +137,11 @@
         self.has_shed.set(true);
     }
 
-    /// How many requests may be in flight for a request of `rank` to be admitted.
+    /// Number of requests in flight up to which requests of `rank` are admitted.
     fn bound(&self, rank: u8) -> f64 {
-        // The correction applies to the fair share too: after a restart of all nodes under load
-        // nothing can be learnt while queues grow, and an uncorrected fair share would keep them
-        // full.
+        // The correction applies to the fair share too: after a restart of all nodes under load,
+        // there are no samples while queues grow, and an uncorrected fair share would keep the
+        // queues full.
         let estimate = self.in_flight_sum / self.utilisation_sum.max(0.1) * DESIRED_UTILISATION;
         let size = if self.utilisation_sum < UTILISATION_SUM_MIN {
             estimate.max(self.fair_share)
@@ -154,21 +154,21 @@
         (size + DEVIATIONS * size.sqrt()) * unreserved + self.spare()
     }
 
-    /// How many more requests may be in flight while the service has capacity. An entry with little
-    /// traffic often has several in flight by chance.
+    /// Additional requests that may be in flight while the service has capacity. An entry node with
+    /// little traffic often has several in flight by chance.
     fn spare(&self) -> f64 {
         let headroom =
             (DESIRED_UTILISATION - self.utilisation) / (DESIRED_UTILISATION - UTILISATION_LOW);
         SPARE_REQUESTS * headroom.clamp(0.0, 1.0)
     }
 
-    /// The probability that a request of `rank` is admitted at this number of requests in flight.
+    /// The probability that a request of `rank` is admitted with `in_flight` requests in flight.
     pub fn admission_probability(&self, in_flight: f64, rank: u8) -> f64 {
         let by_level = self.level.map_or(1.0, |level| level - f64::from(rank));
         by_level.min(self.bound(rank) - in_flight).clamp(0.0, 1.0)
     }
 
-    /// The probability that a request is admitted whatever its rank, at this number of requests of
+    /// The probability that a request is admitted whatever its rank, with `in_flight` requests of
     /// its route in flight.
     pub fn admission_probability_by_reserve(&self, in_flight: f64) -> f64 {
         (self.bound(0) * RESERVED_SHARE - in_flight).clamp(0.0, 1.0)
--- a/src/mesh/words.rs
+++ b/src/mesh/words.rs
@@ -1,9 +1,9 @@
-//! Dynamic tables that compress frames, similar to HPACK: byte strings that repeat are sent as
-//! numbers.
+//! Dynamic tables that compress frames, similar to HPACK: repeated byte strings (words) are sent as
+//! indices.
 //!
-//! Names of services, routes, hosts and headers, and many values, are the same in call after call.
-//! The sender marks the words to be kept. Both ends number these in the order in which they are
-//! sent, and overwrite the oldest when the table is full.
+//! Names of services, routes, hosts and headers, and many values, are the same in most calls. The
+//! sender marks the words to be added to the tables. Both ends number these in the order in which
+//! they are sent, and overwrite the oldest when the table is full.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -13,20 +13,20 @@
 
 use super::codec::FrameError;
 
-/// The size of the table for one direction of a link: more words than a site of a dozen services
-/// uses in a minute, and at most about 10 KB a link.
+/// Table size for one direction of a link: more words than a site of a dozen services uses in a
+/// minute, and at most about 10 KB a link.
 const TABLE_WORDS_MAX: usize = 128;
-/// The longest word that is kept, in bytes.
+/// Maximum length of a word in the table, in bytes.
 const WORD_MAX_BYTES: usize = 96;
 
 /// A word in its encoded form.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Word<'a> {
-    /// The kept word with this number.
+    /// The word in the table with this number.
     Known(u8),
-    /// A word that both ends keep from now on.
+    /// A word that both ends add to their tables.
     New(&'a [u8]),
-    /// A word that is not kept.
+    /// A word that is not added to the tables.
     Once(&'a [u8]),
 }
 
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 pub struct EncoderTable {
     numbers: HashMap<Bytes, u8>,
-    kept: Vec<Bytes>,
+    entries: Vec<Bytes>,
     oldest: usize,
     /// The hash of the last value sent for each name.
     last_value_hashes: HashMap<Bytes, u64>,
@@ -53,8 +53,8 @@
         Word::New(word)
     }
 
-    /// Encodes a value that goes with `name`. It is kept only when sent twice in a row for that
-    /// name, as many values differ each time.
+    /// Encodes a value that goes with `name`. It is added to the table only when sent twice in a
+    /// row for that name, as many values differ each time.
     pub fn encode_value<'a>(&mut self, name: &[u8], value: &'a [u8]) -> Word<'a> {
         if let Some(number) = self.numbers.get(value) {
             return Word::Known(*number);
@@ -74,12 +74,12 @@
     }
 
     fn insert(&mut self, word: Bytes) {
-        if self.kept.len() < TABLE_WORDS_MAX {
-            self.numbers.insert(word.clone(), self.kept.len() as u8);
-            self.kept.push(word);
+        if self.entries.len() < TABLE_WORDS_MAX {
+            self.numbers.insert(word.clone(), self.entries.len() as u8);
+            self.entries.push(word);
             return;
         }
-        let evicted = std::mem::replace(&mut self.kept[self.oldest], word.clone());
+        let evicted = std::mem::replace(&mut self.entries[self.oldest], word.clone());
         self.numbers.remove(&evicted);
         self.numbers.insert(word, self.oldest as u8);
         self.oldest = (self.oldest + 1) % TABLE_WORDS_MAX;
@@ -89,7 +89,7 @@
 /// The receiver's table, which holds the same words as the sender's.
 #[derive(Debug, Default)]
 pub struct DecoderTable {
-    kept: Vec<Bytes>,
+    entries: Vec<Bytes>,
     oldest: usize,
 }
 
@@ -98,21 +98,23 @@
     ///
     /// # Errors
     ///
-    /// The number is unknown, so the tables of the two ends differ, or a word to be kept is too
+    /// The number is unknown, so the tables of the two ends differ, or a word to be added is too
     /// long.
     pub fn decode(&mut self, word: &Word<'_>) -> Result<Bytes, FrameError> {
         match word {
-            Word::Known(number) => {
-                self.kept.get(usize::from(*number)).cloned().ok_or(FrameError::UnknownWord(*number))
-            }
+            Word::Known(number) => self
+                .entries
+                .get(usize::from(*number))
+                .cloned()
+                .ok_or(FrameError::UnknownWord(*number)),
             Word::Once(word) => Ok(Bytes::copy_from_slice(word)),
             Word::New(word) if word.len() > WORD_MAX_BYTES => Err(FrameError::TooLong(word.len())),
             Word::New(word) => {
                 let word = Bytes::copy_from_slice(word);
-                if self.kept.len() < TABLE_WORDS_MAX {
-                    self.kept.push(word.clone());
+                if self.entries.len() < TABLE_WORDS_MAX {
+                    self.entries.push(word.clone());
                 } else {
-                    self.kept[self.oldest] = word.clone();
+                    self.entries[self.oldest] = word.clone();
                     self.oldest = (self.oldest + 1) % TABLE_WORDS_MAX;
                 }
                 Ok(word)
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Decodes a word that is text.
+    /// Decodes a word that must be valid UTF-8.
     pub fn decode_text(&mut self, word: &Word<'_>) -> Result<String, FrameError> {
         let word = self.decode(word)?;
         String::from_utf8(word.into()).map_err(|_| FrameError::NotText)
--- a/src/platform/heartbeat.rs
+++ b/src/platform/heartbeat.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// Handles a deregistration, by which a target announces that it is about to end.
+/// Handles a deregistration: the target is about to exit.
 fn handle_deregistration(node: &Node, id: &str, body: &[u8]) -> eyre::Result<()> {
     let deregistration =
         if body.is_empty() { DeregistrationBody::default() } else { serde_json::from_slice(body)? };
--- a/src/platform/members.rs
+++ b/src/platform/members.rs
@@ -1,7 +1,7 @@
-//! Discovers the other nodes and the quarantined requests through the store, at the start of a node.
+//! Registers a node in the store at its start, and reads the other nodes and the quarantined requests from it.
 //!
-//! Each node writes its own row and then reads all rows. Of two nodes that start at the same time, the one that
-//! reads later sees the other and connects to it, so no node has to watch the table.
+//! Each node writes its own row and then reads all rows. Of two nodes that start at the same time, the one that reads
+//! later finds the row of the other and connects to it, so no node has to watch the table.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -26,7 +26,7 @@
 pub use document::read_document;
 pub use settings::{PlatformSettings, SETTINGS_ENV, parse as parse_settings};
 
-/// Runs a node on the platform until it is told to stop.
+/// Runs a node on the platform until it is stopped by SIGTERM.
 pub fn run() -> eyre::Result<()> {
     let path = std::env::var_os(SETTINGS_ENV)
         .ok_or_else(|| eyre::eyre!("the environment variable {SETTINGS_ENV} is not set"))?;
--- a/src/platform/quarantine.rs
+++ b/src/platform/quarantine.rs
@@ -21,28 +21,28 @@
 /// The average pause after a failed write.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Writes rows of quarantined requests and removes those of released ones, for as long as the node runs.
+/// Saves quarantined requests and removes the rows of released ones, for as long as the node runs.
 pub async fn persist(node: Rc<Node>, address: SocketAddr) {
     let mut store = Store::new(address);
     loop {
-        let Some((fingerprint, holds)) = node.quarantine.next_unsaved() else {
-            node.quarantine.to_save.notified().await;
+        let Some((fingerprint, count)) = node.quarantine.next_unsaved() else {
+            node.quarantine.save_requested.notified().await;
             continue;
         };
-        if write(&mut store, fingerprint, holds).await.is_err() {
+        if write(&mut store, fingerprint, count).await.is_err() {
             let jitter = rand::rng().random_range(0.5..1.5);
             sleep(RETRY_PAUSE.mul_f64(jitter)).await;
             continue;
         }
-        node.quarantine.note_saved();
+        node.quarantine.record_saved();
     }
 }
 
-async fn write(store: &mut Store, fingerprint: Fingerprint, holds: u32) -> eyre::Result<()> {
+async fn write(store: &mut Store, fingerprint: Fingerprint, count: u32) -> eyre::Result<()> {
     let key = format!("{KEY_PREFIX}{fingerprint}");
-    match holds {
+    match count {
         0 => store.remove(TABLE, &key).await,
-        holds => store.put(TABLE, &key, holds.to_string().as_bytes()).await,
+        count => store.put(TABLE, &key, count.to_string().as_bytes()).await,
     }
 }
 
@@ -56,6 +56,6 @@
     let fingerprint =
         Fingerprint::parse(fingerprint).ok_or_eyre("the key has no valid fingerprint")?;
     let value = String::from_utf8(row.value()?)?;
-    let holds = value.parse().wrap_err("the number of holds")?;
-    Ok(Some(Suspicion { fingerprint, crashes: 0, holds }))
+    let count = value.parse().wrap_err("the quarantine count")?;
+    Ok(Some(Suspicion { fingerprint, crashes: 0, holds: count }))
 }
--- a/src/platform/watch.rs
+++ b/src/platform/watch.rs
@@ -1,4 +1,4 @@
-//! Watches the operator's configuration in the store and applies new versions.
+//! Follows the operator's configuration in the store and applies new versions.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,12 +25,12 @@
     let mut version = None;
     let mut schedule = PollSchedule::new(Instant::now());
     loop {
-        // Every node reads the current version at its start. Later ones reach the nodes that do not watch the store
-        // through their peers.
-        while version.is_some() && watch.role() == Role::Hears {
-            watch.to_follow.notified().await;
+        // Every node reads the current version at its start. Nodes that do not follow the store receive later versions
+        // from their peers.
+        while version.is_some() && watch.role() == Role::Informed {
+            watch.follow_requested.notified().await;
         }
-        let long_poll = schedule.ask(watch.is_first(), rand::random(), Instant::now());
+        let long_poll = schedule.next_request(watch.is_first(), rand::random(), Instant::now());
         let outcome = tokio::select! {
             outcome = poll(&node, &mut store, version, long_poll) => outcome,
             () = watch.became_first.notified() => continue,
@@ -38,21 +38,21 @@
         match outcome {
             Ok(seen_version) => {
                 version = seen_version;
-                watch.note_answer();
-                if let Some(outage) = schedule.answered(Instant::now()) {
+                watch.record_answer();
+                if let Some(outage) = schedule.record_answer(Instant::now()) {
                     let away_ms = outage.as_millis() as u64;
                     node.log.emit(&LogEvent::StoreBack { store: "table", away_ms });
                 }
             }
             Err(error) => {
-                let failure = schedule.failed(watch.role(), rand::random(), Instant::now());
+                let failure = schedule.record_failure(watch.role(), rand::random(), Instant::now());
                 if failure.is_new {
                     let detail = format!("{error:#}");
                     let asked_ms = failure.waited.as_millis() as u64;
                     node.log.emit(&LogEvent::StoreAway { store: "table", detail, asked_ms });
                 }
-                if failure.is_away {
-                    watch.note_unreachable();
+                if failure.is_unreachable {
+                    watch.mark_unreachable();
                 }
                 sleep_until(failure.retry_at).await;
             }
